--- a/include/jackdawladder/core.h
+++ b/include/jackdawladder/core.h
@@ -2,12 +2,12 @@
 #define JACKDAWLADDER_CORE_H
 
 /**
- * DOC: The reducer.
+ * DOC: The reducer, which makes every decision of a daemon.
  *
- * Every decision of a daemon is made here, from events, into effects. It
- * reads no clock, socket, environment or random source. The same options and
- * events give the same effects, byte for byte. It has no lock of its own:
- * one step at a time.
+ * The reducer takes events and returns effects. It reads no clock, socket,
+ * environment variable or external random source, so that the same options
+ * and events give the same effects, byte for byte. It has no lock: the caller
+ * must not run two steps of one reducer at the same time.
  */
 
 #include "jackdawladder/effect.h"
@@ -15,10 +15,12 @@
 struct jl_core;
 
 /**
- * enum jl_core_mode - which controls are on
- * @JL_CORE_FULL: all of them
- * @JL_CORE_LIMIT_ONLY: baseline, a limit on requests in progress at each hop
- * @JL_CORE_FORWARD: baseline, plain forwarding, every hop retries twice
+ * enum jl_core_mode - which overload controls are enabled
+ * @JL_CORE_FULL: all controls
+ * @JL_CORE_LIMIT_ONLY: baseline for comparison; only a concurrency limit at
+ *                      each hop
+ * @JL_CORE_FORWARD: baseline for comparison; no control, each hop retries up
+ *                   to twice
  */
 enum jl_core_mode
 {
@@ -28,9 +30,19 @@
 };
 
 /**
- * enum jl_mechanism - what a test can switch off, to see a check fail
+ * enum jl_mechanism - mechanisms that a test can disable
+ * @JL_MECHANISM_TOKENS: retry tokens
+ * @JL_MECHANISM_IMPORTANCE: queueing and load shedding by priority
+ * @JL_MECHANISM_ATTEMPT_MATCH: results are ignored unless they belong to the
+ *                              attempt in progress
+ * @JL_MECHANISM_TOMBSTONE: cancelled attempts that arrive late are refused
+ * @JL_MECHANISM_ONCE: at most one run per ticket
+ * @JL_MECHANISM_PROBES: liveness probes between daemons
+ * @JL_MECHANISM_DRAIN: draining before exit
+ * @JL_MECHANISM_CONFIG_ORDER: older configurations are ignored
  *
- * Works in builds with JL_TEST_HOOKS only.
+ * A test disables a mechanism to prove that the check which covers it fails
+ * without it. Only builds with JL_TEST_HOOKS support this.
  */
 enum jl_mechanism
 {
@@ -45,11 +57,16 @@
 };
 
 /**
- * struct jl_core_options - what a reducer starts with
- * @seed: of its random numbers
- * @call_max: calls of callers in progress at most, 0 for no limit
- * @work_max: work items waiting and running at most, 0 for no limit
- * @switched_off: set of enum jl_mechanism
+ * struct jl_core_options - initial parameters of a reducer
+ * @identity: identity of this daemon
+ * @peer: endpoint at which this daemon takes calls of other daemons
+ * @zone: availability zone of this daemon
+ * @seed: seed of the random number generator
+ * @call_max: limit on concurrent calls that come from callers, 0 for no limit
+ * @work_max: limit on queued and running work items, 0 for no limit
+ * @now_us: monotonic time at the start
+ * @mode: overload controls that are enabled
+ * @switched_off: bit set of enum jl_mechanism
  */
 struct jl_core_options
 {
@@ -69,39 +86,46 @@
 
 /**
  * jl_core_step - handles one event
- * @effects: what it asks for is appended
+ * @effects: list to which the resulting effects are appended
+ *
+ * Timers that are due at the event's time fire before it is handled.
  */
 void jl_core_step (struct jl_core *core,
                    const struct jl_event *event,
                    struct jl_effects *effects);
 
 /**
- * jl_core_next_timer - when to send the next JL_EVENT_TICK at the latest
+ * jl_core_next_timer - returns the time by which the next event is due
+ *
+ * If no other event comes before that time, a JL_EVENT_TICK must be sent.
+ *
+ * Return: monotonic time in microseconds, UINT64_MAX if no timer is started.
  */
 uint64_t jl_core_next_timer (const struct jl_core *core);
 
 /**
- * jl_core_member_count - daemons that are seen alive, this one included
+ * jl_core_member_count - returns the number of live daemons, including this
+ * one
  */
 uint32_t jl_core_member_count (struct jl_core *core);
 
 /**
- * jl_core_mint_ticket - a ticket for a caller that asks for one
+ * jl_core_mint_ticket - issues a ticket to a caller that requests one
  */
 struct jl_ticket jl_core_mint_ticket (struct jl_core *core);
 
 /**
- * jl_core_status - appends a short JSON object for operators
+ * jl_core_status - appends a summary of the state as a JSON object
  */
 void jl_core_status (struct jl_core *core, GString *out);
 
 /**
- * jl_core_dump - appends the whole state as one JSON object
+ * jl_core_dump - appends the complete state as a JSON object
  */
 void jl_core_dump (struct jl_core *core, GString *out);
 
 /**
- * jl_core_counters - appends the counters in the text exposition format
+ * jl_core_counters - appends the metrics in the Prometheus text format
  */
 void jl_core_counters (struct jl_core *core, GString *out);
 
--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -2,31 +2,33 @@
 #define JACKDAWLADDER_EFFECT_H
 
 /**
- * DOC: Effects, all that the reducer asks the edge to do.
+ * DOC: Effects, the actions that the reducer requests from the I/O layer.
  *
- * Effects of one step are carried out in order. Each is complete in itself;
- * the edge never reads the reducer's state to carry one out.
+ * The I/O layer executes the effects of a step in order. An effect holds all
+ * that its execution needs; the I/O layer never reads the reducer's state.
  */
 
 #include "jackdawladder/event.h"
 #include "jackdawladder/log.h"
 
 /**
- * enum jl_effect_type - what the edge is to do
+ * enum jl_effect_type - type of an action
  * @JL_EFFECT_SEND: send a call to the guard of a target
- * @JL_EFFECT_FORWARD: send a call on to the minter of its ticket
- * @JL_EFFECT_ANSWER: give a call its final answer
- * @JL_EFFECT_CLAIM: claim a caller's key in the platform's table
- * @JL_EFFECT_RUN: send a work item to the own target
+ * @JL_EFFECT_FORWARD: forward a call to the daemon that minted its ticket
+ * @JL_EFFECT_ANSWER: send the final answer to the originator of a call
+ * @JL_EFFECT_CLAIM: claim a caller's idempotency key in the platform's table
+ * @JL_EFFECT_RUN: send a work item to the local target
  * @JL_EFFECT_FINISH: answer the daemon that sent a work item
- * @JL_EFFECT_ABORT: stop the run of a work item; its result still comes
- * @JL_EFFECT_STOP_SEND: stop the sending of a call; its result still comes
+ * @JL_EFFECT_ABORT: abort a running work item; the reducer still expects a
+ *                   JL_EVENT_WORK_RESULT
+ * @JL_EFFECT_STOP_SEND: abort an attempt; its result is still reported, and the
+ *                       reducer ignores it
  * @JL_EFFECT_MESSAGE: send a control message
- * @JL_EFFECT_PUBLISH: the own row for the platform's table has changed
- * @JL_EFFECT_CONFIG: a configuration is in force from now on
- * @JL_EFFECT_FETCH_CONFIG: get the configuration from a peer
+ * @JL_EFFECT_PUBLISH: update this daemon's row in the platform's table
+ * @JL_EFFECT_CONFIG: use the given configuration from now on
+ * @JL_EFFECT_FETCH_CONFIG: fetch the configuration from a peer
  * @JL_EFFECT_LOG: write a log event
- * @JL_EFFECT_EXIT: drained; end the process
+ * @JL_EFFECT_EXIT: exit the process; draining is complete
  */
 enum jl_effect_type
 {
@@ -48,12 +50,12 @@
 
 /**
  * struct jl_effect_send - send a call to the guard of a target
- * @peer: where that daemon takes calls of other daemons
- * @member: that daemon
- * @local: it is this daemon itself
+ * @peer: endpoint at which the guard takes calls of other daemons
+ * @member: daemon that acts as the guard
+ * @local: whether @member is this daemon
  * @budget_us: time left until the deadline
  * @anchor: see struct jl_event_work
- * @tokens: retry tokens lent with it
+ * @tokens: retry tokens lent to the attempt
  */
 struct jl_effect_send
 {
@@ -73,7 +75,11 @@
 };
 
 /**
- * struct jl_effect_forward - send a call on to the minter of its ticket
+ * struct jl_effect_forward - forward a call to the daemon that minted its
+ * ticket
+ * @peer: endpoint at which that daemon takes calls of other daemons
+ * @tokens: retry tokens lent to the attempt
+ * @budget_us: time left until the deadline
  */
 struct jl_effect_forward
 {
@@ -90,28 +96,31 @@
 };
 
 /**
- * struct jl_effect_answer - give a call its final answer
- * @outcome: with JL_OUTCOME_DONE, the answer that came with the last result
- * @sending: what became of this sending of the request alone; it may be
- *           JL_OUTCOME_NOT_RUN where @outcome, which speaks of all sendings
- *           under the same key, is JL_OUTCOME_UNKNOWN
- * @retry_after_ms: when to come back; 0 when that is of no use
- * @stored: answer with the copy that the edge kept under @ticket
- * @keep: keep a copy of the answer under @ticket
- * @ticket: the request's ticket; number 0 when it has none
- * @next_ticket: a fresh ticket for the caller's next request
- * @tokens: unspent retry tokens of the tree
- * @sends: sendings of this call so far
+ * struct jl_effect_answer - send the final answer to the originator of a call
+ * @outcome: outcome of the request over all transmissions of it by the caller
+ *           under one key; with JL_OUTCOME_DONE, the response to send is the
+ *           one that came with the last result
+ * @attempt_outcome: outcome of this transmission alone; it may be
+ *                   JL_OUTCOME_NOT_RUN while @outcome is JL_OUTCOME_UNKNOWN
+ * @retry_after_ms: delay before the caller should retry; 0 if a retry is of
+ *                  no use
+ * @replay_stored: send the response that is stored under @ticket
+ * @store: store the response under @ticket
+ * @ticket: ticket of the request; its number is 0 if there is none
+ * @next_ticket: new ticket for the caller's next request
+ * @tokens: unspent retry tokens of the call tree
+ * @sends: number of attempts that were sent for this call
+ * @report: overload report of the services that the answer passed through
  */
 struct jl_effect_answer
 {
   uint64_t call;
   enum jl_outcome outcome;
-  enum jl_outcome sending;
+  enum jl_outcome attempt_outcome;
   enum jl_reason reason;
   uint32_t retry_after_ms;
-  bool stored;
-  bool keep;
+  bool replay_stored;
+  bool store;
   struct jl_ticket ticket;
   struct jl_ticket next_ticket;
   uint32_t tokens;
@@ -119,6 +128,11 @@
   struct jl_report report;
 };
 
+/**
+ * struct jl_effect_claim - claim a caller's idempotency key
+ * @key_hash: hash of the key
+ * @ticket: ticket to record for the key, unless the key is claimed already
+ */
 struct jl_effect_claim
 {
   uint64_t call;
@@ -127,8 +141,8 @@
 };
 
 /**
- * struct jl_effect_run - send a work item to the own target
- * @budget_us: time left until its deadline
+ * struct jl_effect_run - send a work item to the local target
+ * @budget_us: time left until the deadline of the work item
  */
 struct jl_effect_run
 {
@@ -138,7 +152,12 @@
 
 /**
  * struct jl_effect_finish - answer the daemon that sent a work item
- * @outcome: with JL_OUTCOME_DONE, the answer that came with the result
+ * @outcome: with JL_OUTCOME_DONE, the response to send is the one that came
+ *           with the work item's result
+ * @no_retry: whether a retry is of no use
+ * @retry_after_ms: delay before a retry, 0 for no hint
+ * @tokens: unspent retry tokens that are given back
+ * @report: overload report of this service and of those below it
  */
 struct jl_effect_finish
 {
@@ -151,18 +170,29 @@
   struct jl_report report;
 };
 
+/**
+ * struct jl_effect_stop_send - abort an attempt
+ */
 struct jl_effect_stop_send
 {
   uint64_t call;
   struct jl_attempt_id attempt;
 };
 
+/**
+ * struct jl_effect_message - send a control message
+ */
 struct jl_effect_message
 {
   struct jl_endpoint to;
   struct jl_message message;
 };
 
+/**
+ * struct jl_effect_fetch_config - fetch a configuration from a peer
+ * @peer: endpoint at which the peer takes calls of other daemons
+ * @version: version that the peer has installed
+ */
 struct jl_effect_fetch_config
 {
   struct jl_endpoint peer;
@@ -170,7 +200,9 @@
 };
 
 /**
- * struct jl_effect_log - write a log event, see jl_log()
+ * struct jl_effect_log - write a log event
+ * @first: first value of the event, see jl_log()
+ * @second: second value of the event
  */
 struct jl_effect_log
 {
@@ -201,7 +233,7 @@
 };
 
 /**
- * struct jl_effects - a list of effects, used again from step to step
+ * struct jl_effects - list of effects that is reused from step to step
  */
 struct jl_effects;
 
@@ -209,7 +241,7 @@
 void jl_effects_drop (struct jl_effects *effects);
 
 /**
- * jl_effects_clear - empties the list and keeps its memory
+ * jl_effects_clear - removes all effects and keeps the allocated memory
  */
 void jl_effects_clear (struct jl_effects *effects);
 
@@ -220,9 +252,9 @@
 /**
  * jl_effects_add - appends a zero-filled effect
  *
- * With JL_EFFECT_MESSAGE its message is there, zero-filled too.
+ * For JL_EFFECT_MESSAGE, a zero-filled message is allocated as well.
  *
- * Return: valid until the next call on @effects.
+ * Return: the effect, valid until the next call that changes @effects.
  */
 struct jl_effect *jl_effects_add (struct jl_effects *effects,
                                   enum jl_effect_type type);
--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -2,25 +2,27 @@
 #define JACKDAWLADDER_EVENT_H
 
 /**
- * DOC: Events, all that the reducer ever hears of.
+ * DOC: Events, the only input of the reducer.
  *
- * Two roles of a daemon show in their names. A *call* is a request at the
- * daemon that took it from a caller, or from its own target (entry). A *work*
- * item is one sending of a call at the daemon of the target that is to run it
- * (guard). Calls and works are numbered by the edge of the daemon; a number
- * is never used twice in one life.
+ * A daemon has two roles. As an entry it takes requests from callers and from
+ * the local target; such a request is a *call*. As a guard it controls access
+ * to the local target; an attempt of a call that arrives there is a *work*
+ * item. The I/O layer numbers calls and work items. A number is never reused
+ * while the process runs.
  */
 
 #include "jackdawladder/config.h"
 #include "jackdawladder/message.h"
 
-/* Services in the report of one answer. */
+/* Maximum number of services in the report of one answer. */
 #define JL_REPORT_MAX 32
 
 /**
- * struct jl_report_item - state of a service that an answer passed through
+ * struct jl_report_item - admission level of a service that an answer passed
+ * through
  * @service: index in the configuration
- * @level: lowest priority that it refuses; JL_PRIORITY_COUNT refuses none
+ * @level: lowest priority value that the service refuses; JL_PRIORITY_COUNT if
+ *         it refuses none
  */
 struct jl_report_item
 {
@@ -29,8 +31,11 @@
 };
 
 /**
- * struct jl_report - what an answer says of the services below it
- * @load_permille: requests in progress per slot at the answering daemon
+ * struct jl_report - overload report that is attached to an answer
+ * @load_permille: requests in progress per slot at the answering daemon, in
+ *                 thousandths
+ * @count: number of valid elements of @items
+ * @items: admission levels of the services that the answer passed through
  */
 struct jl_report
 {
@@ -39,6 +44,24 @@
   struct jl_report_item items[JL_REPORT_MAX];
 };
 
+/**
+ * enum jl_event_type - type of an event
+ * @JL_EVENT_TICK: time has passed; due timers fire
+ * @JL_EVENT_CONFIG: a configuration was loaded
+ * @JL_EVENT_ANNOUNCE: the local target announces that it takes requests
+ * @JL_EVENT_TARGET_LEAVE: the local target takes no more requests
+ * @JL_EVENT_DRAIN: an operator asks the daemon to drain and exit
+ * @JL_EVENT_CALL: a request has arrived at this entry
+ * @JL_EVENT_CALL_RESULT: an attempt has ended
+ * @JL_EVENT_CALLER_DISCONNECTED: the originator of a call no longer waits for
+ *                                its answer
+ * @JL_EVENT_CLAIM_RESULT: a claim of a caller's key has ended
+ * @JL_EVENT_WORK: a work item has arrived at this guard
+ * @JL_EVENT_WORK_RESULT: a run at the local target has ended
+ * @JL_EVENT_MESSAGE: a control message was received
+ * @JL_EVENT_SEED: the control endpoint of a daemon became known
+ * @JL_EVENT_TYPE_COUNT: number of types
+ */
 enum jl_event_type
 {
   JL_EVENT_TICK,
@@ -48,7 +71,7 @@
   JL_EVENT_DRAIN,
   JL_EVENT_CALL,
   JL_EVENT_CALL_RESULT,
-  JL_EVENT_CALL_GONE,
+  JL_EVENT_CALLER_DISCONNECTED,
   JL_EVENT_CLAIM_RESULT,
   JL_EVENT_WORK,
   JL_EVENT_WORK_RESULT,
@@ -58,8 +81,11 @@
 };
 
 /**
- * struct jl_event_announce - the own target says that it takes work
- * @started: differs in each life of the target
+ * struct jl_event_announce - the local target announces that it takes requests
+ * @service: name of its service
+ * @slots: requests that it runs concurrently
+ * @connections: connections that it accepts
+ * @started: value that differs after each restart of the target
  */
 struct jl_event_announce
 {
@@ -70,10 +96,10 @@
 };
 
 /**
- * enum jl_key_type - how a request is told from its repetitions
- * @JL_KEY_NONE: by nothing; a repetition is a new request
- * @JL_KEY_TICKET: by a ticket that a daemon minted
- * @JL_KEY_CALLER: by a key of the caller's own
+ * enum jl_key_type - type of the idempotency key of a request
+ * @JL_KEY_NONE: no key; a repetition counts as a new request
+ * @JL_KEY_TICKET: a ticket that a daemon minted
+ * @JL_KEY_CALLER: a key that the caller chose
  */
 enum jl_key_type
 {
@@ -83,19 +109,27 @@
 };
 
 /**
- * struct jl_event_call - a request arrives
- * @call: number given by the edge
- * @kind: index in the configuration of @config_version, JL_NONE if none fits
- * @parent: work during which the own target makes this call, 0 for a caller
- * @ordinal: how many calls of @kind @parent made before, or given by it
- * @forwarded: sent on by another daemon to the minter of its ticket
- * @attempt: with @forwarded only, that daemon's sending
- * @key_hash: hash of a caller's key, with JL_KEY_CALLER
+ * struct jl_event_call - a request has arrived at this entry
+ * @call: number assigned by the I/O layer
+ * @kind: index in the configuration of @config_version, JL_NONE if no kind
+ *        matches
+ * @config_version: version of the configuration that @kind refers to
+ * @parent: work item during which the local target makes this call, 0 for a
+ *          call of a caller
+ * @ordinal: number of earlier calls of @kind that @parent made, or a number
+ *           that the target assigned
+ * @forwarded: whether another daemon forwarded the call to this one, which
+ *             minted its ticket
+ * @attempt: attempt of the forwarding daemon, only with @forwarded
+ * @key_type: type of the idempotency key
+ * @ticket: ticket of the request, only with JL_KEY_TICKET
+ * @key_hash: hash of the caller's key, only with JL_KEY_CALLER
  * @digest: digest of method, path and body
- * @budget_us: how long the caller waits, 0 for as long as the kind allows
- * @priority: with @forwarded only; else the reducer sets it
- * @tokens: with @forwarded only, retry tokens lent with it
- * @invested_us: with @forwarded only, work already done up the chain
+ * @budget_us: time for which the caller waits, 0 for the limit of the kind
+ * @priority: priority, only with @forwarded; otherwise the reducer sets it
+ * @tokens: retry tokens lent with the call, only with @forwarded
+ * @invested_us: time already spent on the request by the daemons upstream, only
+ *               with @forwarded
  */
 struct jl_event_call
 {
@@ -117,11 +151,11 @@
 };
 
 /**
- * enum jl_send_result - how a sending to another daemon ended
- * @JL_SEND_ANSWERED: with a whole answer of the other daemon
- * @JL_SEND_NOT_SENT: no byte of the request left this process
- * @JL_SEND_BROKEN: the connection broke after the request left
- * @JL_SEND_TIMEOUT: no whole answer in time
+ * enum jl_send_result - how an attempt ended
+ * @JL_SEND_ANSWERED: the other daemon sent a complete answer
+ * @JL_SEND_NOT_SENT: no byte of the request was sent
+ * @JL_SEND_BROKEN: the connection broke after a part of the request was sent
+ * @JL_SEND_TIMEOUT: no complete answer arrived in time
  */
 enum jl_send_result
 {
@@ -132,13 +166,15 @@
 };
 
 /**
- * struct jl_event_call_result - a JL_EFFECT_SEND or JL_EFFECT_FORWARD ended
- * @outcome: said by the other daemon, with JL_SEND_ANSWERED
- * @reason: likewise
- * @no_retry: the other daemon says that no retry is useful
- * @retry_after_ms: likewise, 0 when it said none
- * @status: HTTP status of the target, with JL_OUTCOME_DONE
- * @tokens: unspent retry tokens that came back
+ * struct jl_event_call_result - a JL_EFFECT_SEND or JL_EFFECT_FORWARD has ended
+ * @outcome: outcome that the other daemon reports, only with JL_SEND_ANSWERED
+ * @reason: reason that the other daemon reports, only with JL_SEND_ANSWERED
+ * @no_retry: whether the other daemon reports that a retry is of no use
+ * @retry_after_ms: delay before a retry that the other daemon asks for, 0 for
+ *                  none
+ * @status: HTTP status of the target, only with JL_OUTCOME_DONE
+ * @tokens: unspent retry tokens that the other daemon gave back
+ * @report: overload report that the other daemon attached
  */
 struct jl_event_call_result
 {
@@ -155,10 +191,10 @@
 };
 
 /**
- * struct jl_event_claim_result - a JL_EFFECT_CLAIM ended
- * @known: whether the platform gave a certain answer
- * @owner: the daemon whose claim stands, with @known
- * @owner_ticket: the ticket that it minted for the key
+ * struct jl_event_claim_result - a JL_EFFECT_CLAIM has ended
+ * @known: whether the platform confirmed who owns the key
+ * @owner_ticket: ticket that the key stands for, only with @known; its minter
+ *                owns the key
  */
 struct jl_event_claim_result
 {
@@ -168,13 +204,15 @@
 };
 
 /**
- * struct jl_event_work - a sending of a call arrives at its guard
- * @work: number given by the edge
+ * struct jl_event_work - an attempt of a call has arrived at its guard
+ * @work: number assigned by the I/O layer
+ * @kind: index in the configuration of @config_version
  * @priority: see JL_PRIORITY_COUNT
- * @invested_us: work already done for the request up the chain
- * @budget_us: time left until its deadline
- * @anchor: names the daemon that keeps the at-most-once state of this tree
- * @tokens: retry tokens lent with it
+ * @invested_us: time already spent on the request by the daemons upstream
+ * @budget_us: time left until the deadline
+ * @anchor: ticket whose minter keeps the at-most-once state of the call tree
+ * @tokens: retry tokens lent to the attempt
+ * @digest: digest of method, path and body
  */
 struct jl_event_work
 {
@@ -191,13 +229,14 @@
 };
 
 /**
- * enum jl_run_result - how a run at the own target ended
- * @JL_RUN_ANSWERED: whole answer
+ * enum jl_run_result - how a run at the local target ended
+ * @JL_RUN_ANSWERED: the target sent a complete response
  * @JL_RUN_NOT_SENT: no byte of the request reached the target
- * @JL_RUN_BROKEN: the target's connection broke, or the answer was not whole
- * @JL_RUN_TIMEOUT: no whole answer before the deadline
- * @JL_RUN_ABORTED: stopped by JL_EFFECT_ABORT
- * @JL_RUN_TOO_LARGE: the answer was larger than its kind allows
+ * @JL_RUN_BROKEN: the connection to the target broke, or the response was
+ *                 incomplete
+ * @JL_RUN_TIMEOUT: no complete response arrived before the deadline
+ * @JL_RUN_ABORTED: the run was aborted by JL_EFFECT_ABORT
+ * @JL_RUN_TOO_LARGE: the response was larger than its kind allows
  */
 enum jl_run_result
 {
@@ -209,6 +248,10 @@
   JL_RUN_TOO_LARGE,
 };
 
+/**
+ * struct jl_event_work_result - a JL_EFFECT_RUN has ended
+ * @status: HTTP status of the target, only with JL_RUN_ANSWERED
+ */
 struct jl_event_work_result
 {
   uint64_t work;
@@ -217,9 +260,9 @@
 };
 
 /**
- * struct jl_event_seed - a daemon may be reached there
+ * struct jl_event_seed - control endpoint of a daemon that may be running
  *
- * From the settings, or from a row in the platform's table.
+ * The endpoint comes from the settings or from a row of the platform's table.
  */
 struct jl_event_seed
 {
@@ -227,8 +270,8 @@
 };
 
 /**
- * struct jl_event - one event
- * @now_us: monotonic time; never goes back from event to event
+ * struct jl_event - an event
+ * @now_us: monotonic time; must not decrease from event to event
  */
 struct jl_event
 {
@@ -240,7 +283,7 @@
     struct jl_event_announce announce;
     struct jl_event_call call;
     struct jl_event_call_result call_result;
-    uint64_t call_gone;
+    uint64_t disconnected_call;
     struct jl_event_claim_result claim_result;
     struct jl_event_work work;
     struct jl_event_work_result work_result;
--- a/include/jackdawladder/timer.h
+++ b/include/jackdawladder/timer.h
@@ -2,10 +2,11 @@
 #define JACKDAWLADDER_TIMER_H
 
 /**
- * DOC: The timer service of the reducer.
+ * DOC: Timers of the reducer.
  *
- * Parts subscribe with an embedded struct jl_timer. Timers fire in order of
- * their time, those of one time in the order in which they were started.
+ * A component embeds a struct jl_timer for each of its timers. Timers fire in
+ * order of their due times; timers with the same due time fire in the order in
+ * which they were started.
  */
 
 #include "jackdawladder/base.h"
@@ -14,23 +15,29 @@
 struct jl_timer;
 
 /**
- * jl_timer_fn - called when a timer has fired; may start it again
- * @context: as given to jl_timer_start()
+ * JL_TIMER_FN - declares a function pointer that is called when a timer fires
+ * @name: name of the pointer
+ *
+ * The function gets the context that was passed to jl_timer_start(). It may
+ * restart the timer or free it.
  */
 #define JL_TIMER_FN(name) void (*name) (void *context, struct jl_timer *timer)
 
 /**
- * struct jl_timer - a subscription, embedded in its owner's structure
- * @due_us: time at which it fires
- * @index: place in the heap plus one; 0 while it is stopped
+ * struct jl_timer - a timer, embedded in its owner's structure
+ * @due_us: monotonic time at which it fires
+ * @sequence: number of the start, which orders timers with the same due time
+ * @heap_position: index in the heap plus one; 0 while the timer is stopped
+ * @fire: function to call
+ * @context: first argument of @fire
  *
- * Zero-filled is stopped.
+ * A zero-filled timer is a stopped one.
  */
 struct jl_timer
 {
   uint64_t due_us;
-  uint64_t order;
-  size_t index;
+  uint64_t sequence;
+  size_t heap_position;
   JL_TIMER_FN (fire);
   void *context;
 };
@@ -38,12 +45,12 @@
 struct jl_timers *jl_timers_new (void);
 
 /**
- * jl_timers_drop - frees the service; timers still started are forgotten
+ * jl_timers_drop - frees @timers without firing the started timers
  */
 void jl_timers_drop (struct jl_timers *timers);
 
 /**
- * jl_timer_start - starts @timer, or moves it when it was started before
+ * jl_timer_start - starts @timer, or reschedules it if it is started already
  */
 void jl_timer_start (struct jl_timers *timers,
                      struct jl_timer *timer,
@@ -52,17 +59,19 @@
                      void *context);
 
 /**
- * jl_timer_stop - stops @timer; nothing happens when it is stopped already
+ * jl_timer_stop - stops @timer; has no effect on a stopped timer
  */
 void jl_timer_stop (struct jl_timers *timers, struct jl_timer *timer);
 
 /**
- * jl_timers_run - fires every timer due at or before @now_us
+ * jl_timers_run - fires all timers that are due at or before @now_us
  */
 void jl_timers_run (struct jl_timers *timers, uint64_t now_us);
 
 /**
- * jl_timers_next - time of the next timer, UINT64_MAX when there is none
+ * jl_timers_next - returns the earliest due time
+ *
+ * Return: monotonic time in microseconds, UINT64_MAX if no timer is started.
  */
 uint64_t jl_timers_next (const struct jl_timers *timers);
 
--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -187,7 +187,7 @@
 {
   struct jl_admit *admit = core->admit;
 
-  if (core->options.mode != JL_CORE_FULL || admit->window.index != 0)
+  if (core->options.mode != JL_CORE_FULL || admit->window.heap_position != 0)
     return;
   jl_timer_start (core->timers, &admit->window,
                   core->now_us + JL_LEVEL_WINDOW_US, end_window, core);
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -21,8 +21,8 @@
 struct jl_retry;
 struct jl_once;
 struct jl_poison;
-struct jl_seen_table;
-struct jl_withdraw;
+struct jl_attempt_table;
+struct jl_cancel_table;
 
 /**
  * struct jl_target - what is known of the own target
@@ -208,8 +208,8 @@
   struct jl_retry *retry;
   struct jl_once *once;
   struct jl_poison *poison;
-  struct jl_seen_table *seen;
-  struct jl_withdraw *withdraw;
+  struct jl_attempt_table *seen;
+  struct jl_cancel_table *withdraw;
   struct jl_counts counts;
 };
 
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The reducer: takes one event to the part that handles it.
+ * DOC: The reducer: dispatches each event to the component that handles it.
  */
 
 #include "core-impl.h"
@@ -7,6 +7,8 @@
 #include <string.h>
 
 #include "admit.h"
+#include "attempt-table.h"
+#include "cancel.h"
 #include "entry.h"
 #include "graph.h"
 #include "guard.h"
@@ -15,13 +17,11 @@
 #include "place.h"
 #include "poison.h"
 #include "retry.h"
-#include "seen.h"
-#include "withdraw.h"
 
-/* A timer is this late only after a pause of the process. */
-#define PAUSE_US (500 * JL_USEC_PER_MSEC)
-/* Time in which all that arrived during a pause has been read. */
-#define STALE_US (1 * JL_USEC_PER_SEC)
+/* A timer that is later than this shows that the process was paused. */
+#define PAUSE_MIN_US (500 * JL_USEC_PER_MSEC)
+/* Time after a pause within which all input that arrived during it is read. */
+#define STALE_INPUT_US (1 * JL_USEC_PER_SEC)
 
 struct jl_effect *
 jl_emit (struct jl_core *core, enum jl_effect_type type)
@@ -66,8 +66,8 @@
   core->retry = jl_retry_new (core);
   core->once = jl_once_new (core);
   core->poison = jl_poison_new (core);
-  core->seen = jl_seen_new (core);
-  core->withdraw = jl_withdraw_new (core);
+  core->seen = jl_attempt_table_new (core);
+  core->withdraw = jl_cancel_table_new (core);
   core->graph = jl_graph_new (core);
   core->place = jl_place_new (core);
   core->admit = jl_admit_new (core);
@@ -77,9 +77,9 @@
   return core;
 }
 
-/* Frees what is still in progress; nobody is answered. */
+/* Frees calls and work items in progress without answering them. */
 static void
-drop_progress (struct jl_core *core)
+free_in_progress (struct jl_core *core)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -105,14 +105,14 @@
 void
 jl_core_drop (struct jl_core *core)
 {
-  drop_progress (core);
+  free_in_progress (core);
   jl_members_drop (core->members);
   jl_admit_drop (core->admit);
   jl_place_drop (core->place);
   jl_graph_drop (core->graph);
   jl_poison_drop (core->poison);
-  jl_seen_drop (core->seen);
-  jl_withdraw_drop (core->withdraw);
+  jl_attempt_table_drop (core->seen);
+  jl_cancel_table_drop (core->withdraw);
   jl_once_drop (core->once);
   jl_retry_drop (core->retry);
   g_hash_table_destroy (core->calls);
@@ -125,7 +125,7 @@
   g_free (core);
 }
 
-/* Installs a configuration, unless it is older than the one in force. */
+/* Installs a configuration if its version is higher than the installed one. */
 static void
 install_config (struct jl_core *core, struct jl_config *config)
 {
@@ -155,8 +155,8 @@
       break;
     case JL_MESSAGE_CANCELLED:
     case JL_MESSAGE_CANCEL_LATE:
-      jl_entry_cancelled (core, message);
-      jl_withdraw_answered (core, message->attempt);
+      jl_entry_cancel_reply (core, message);
+      jl_cancel_answered (core, message->attempt);
       break;
     default:
       break;
@@ -188,8 +188,8 @@
     case JL_EVENT_CALL_RESULT:
       jl_entry_result (core, &event->call_result);
       break;
-    case JL_EVENT_CALL_GONE:
-      jl_entry_gone (core, event->call_gone);
+    case JL_EVENT_CALLER_DISCONNECTED:
+      jl_entry_caller_disconnected (core, event->disconnected_call);
       break;
     case JL_EVENT_CLAIM_RESULT:
       jl_entry_claim_result (core, &event->claim_result);
@@ -211,14 +211,17 @@
     }
 }
 
-/* A timer that fires late tells that the process was paused. */
+/*
+ * Detects by a late timer that the process was paused, and treats input as
+ * stale for a while.
+ */
 static void
-notice_pause (struct jl_core *core)
+detect_pause (struct jl_core *core)
 {
   uint64_t next_us = jl_timers_next (core->timers);
 
-  if (next_us < core->now_us && core->now_us - next_us > PAUSE_US)
-    core->stale_until_us = core->now_us + STALE_US;
+  if (next_us < core->now_us && core->now_us - next_us > PAUSE_MIN_US)
+    core->stale_until_us = core->now_us + STALE_INPUT_US;
 }
 
 void
@@ -229,7 +232,7 @@
   core->effects = effects;
   if (event->now_us > core->now_us)
     core->now_us = event->now_us;
-  notice_pause (core);
+  detect_pause (core);
   core->counts.events++;
   jl_timers_run (core->timers, core->now_us);
   handle_event (core, event);
@@ -240,7 +243,7 @@
 struct jl_ticket
 jl_core_mint_ticket (struct jl_core *core)
 {
-  return jl_once_mint (core);
+  return jl_once_mint_ticket (core);
 }
 
 uint32_t
--- a/source/core/dump.c
+++ b/source/core/dump.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The reducer's state as JSON, and its counters as text.
+ * DOC: Export of the reducer's state as JSON and of its metrics as text.
  */
 
 #include "core-impl.h"
@@ -20,7 +20,7 @@
   return "other";
 }
 
-/* Members of the object that a short status and a dump share. */
+/* Appends the JSON members that status and dump have in common. */
 static void
 append_summary (struct jl_core *core, GString *out)
 {
--- a/source/core/effects.c
+++ b/source/core/effects.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The list of effects of a step.
+ * DOC: The list of effects of a reducer step.
  */
 
 #include "jackdawladder/effect.h"
--- a/source/core/entry-impl.h
+++ b/source/core/entry-impl.h
@@ -2,48 +2,57 @@
 #define JACKDAWLADDER_ENTRY_IMPL_H
 
 /**
- * DOC: What the files of the entry share with each other.
+ * DOC: Declarations shared by the source files of the entry.
  *
- * entry.c takes calls up to their first sending, entry-send.c chooses and
- * sends, entry-result.c handles results, entry-stop.c stops calls.
+ * entry.c handles new calls and final answers, entry-send.c chooses targets
+ * and sends calls, entry-result.c handles results, entry-stop.c cancels calls.
  */
 
 #include "entry.h"
 
 /**
- * jl_call_kind - the kind of a call, in its own configuration
+ * jl_call_kind - returns the kind of @call, from the configuration under which
+ * the call arrived
  */
 const struct jl_kind *jl_call_kind (const struct jl_call *call);
 
 /**
- * jl_entry_end - ends a call that was sent, or was refused before it was
+ * jl_entry_finish - ends a call that was sent, or that was refused before its
+ * first attempt
+ *
+ * Records the outcome under the call's ticket if the call is guarded, emits the
+ * answer and frees the call.
+ *
+ * Return: the answer, so that the caller can fill in the remaining fields.
  */
-struct jl_effect_answer *jl_entry_end (struct jl_core *core,
-                                       struct jl_call *call,
-                                       enum jl_outcome outcome,
-                                       enum jl_reason reason);
+struct jl_effect_answer *jl_entry_finish (struct jl_core *core,
+                                          struct jl_call *call,
+                                          enum jl_outcome outcome,
+                                          enum jl_reason reason);
 
 /**
- * jl_entry_report_service - tells the parent what the service of @call refuses
+ * jl_entry_report_level - adds the admission level of @call's service to the
+ * report of its parent
  */
-void jl_entry_report_service (struct jl_core *core, struct jl_call *call);
+void jl_entry_report_level (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_call_receiver - the life of the daemon that the sending in progress went
- * to
+ * jl_call_receiver - returns the identity of the daemon that got the attempt in
+ * progress
  */
 struct jl_identity jl_call_receiver (const struct jl_call *call);
 
 /**
- * jl_entry_send_cancel - asks the receiver to cancel the sending in progress
+ * jl_entry_send_cancel - asks the receiver to cancel the attempt in progress
  */
 void jl_entry_send_cancel (struct jl_core *core, const struct jl_call *call);
 
 /**
- * jl_entry_note_result - tells placement how the sending in progress ended
+ * jl_entry_record_result - reports the result of the attempt in progress to
+ * placement
  */
-void jl_entry_note_result (struct jl_core *core,
-                           const struct jl_call *call,
-                           const struct jl_event_call_result *event);
+void jl_entry_record_result (struct jl_core *core,
+                             const struct jl_call *call,
+                             const struct jl_event_call_result *event);
 
 #endif
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -1,38 +1,44 @@
 /**
- * DOC: The entry: what the result of a sending leads to.
+ * DOC: The entry: handling of the results of attempts.
  */
 
 #include "entry-impl.h"
 
+#include "attempt-table.h"
+#include "cancel.h"
 #include "graph.h"
 #include "member.h"
 #include "place.h"
 #include "poison.h"
 #include "retry.h"
-#include "seen.h"
-#include "withdraw.h"
 
-/* How long a guard has to answer a cancellation. */
-#define CANCEL_WAIT_US (150 * JL_USEC_PER_MSEC)
-/* A guard knows a sending for at least this long, see seen.c. */
-#define CANCEL_TRUST_US (100 * JL_USEC_PER_SEC)
-/* A struck request is sent again once the guards have heard of its strike. */
-#define STRIKE_WAIT_US (5 * JL_USEC_PER_MSEC)
+/* Time within which a guard must reply to a cancellation. */
+#define CANCEL_TIMEOUT_US (150 * JL_USEC_PER_MSEC)
+/*
+ * Maximum age of an attempt whose cancellation a guard can confirm. It is below
+ * the time for which the guard remembers an attempt, see attempt-table.c.
+ */
+#define CANCEL_ATTEMPT_AGE_MAX_US (100 * JL_USEC_PER_SEC)
+/*
+ * Delay before the retry of a request that got a strike, so that the other
+ * guards learn of the strike first.
+ */
+#define STRIKE_RETRY_DELAY_US (5 * JL_USEC_PER_MSEC)
 
-/* Sends the call to another target if that is allowed, or ends it. */
+/* Retries the call on another target if a retry is allowed, or ends it. */
 static void
-try_again (struct jl_core *core,
-           struct jl_call *call,
-           enum jl_reason reason,
-           bool no_retry)
+retry_or_finish (struct jl_core *core,
+                 struct jl_call *call,
+                 enum jl_reason reason,
+                 bool no_retry)
 {
   call->last_reason = reason;
   if (call->tried_count < JL_TRIED_MAX)
     call->tried[call->tried_count++] = call->member;
   if (no_retry)
-    jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, reason);
+    jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, reason);
   else
-    jl_entry_proceed (core, call);
+    jl_entry_dispatch (core, call);
 }
 
 struct jl_identity
@@ -44,34 +50,37 @@
 void
 jl_entry_send_cancel (struct jl_core *core, const struct jl_call *call)
 {
-  jl_withdraw_send (core, jl_call_receiver (call), call->attempt);
+  jl_cancel_send (core, jl_call_receiver (call), call->attempt);
 }
 
 static void
-cancel_expired (void *context, struct jl_timer *timer)
+finish_uncancelled (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_call *call = caa_container_of (timer, struct jl_call, timer);
 
   call->may_have_run = true;
-  jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
+  jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
 }
 
-/* Asks the guard whether a guarded sending that broke has started. */
+/*
+ * Asks the guard to cancel an attempt whose connection broke, in order to learn
+ * whether the attempt has started.
+ */
 static void
-begin_cancel (struct jl_core *core, struct jl_call *call)
+start_cancel (struct jl_core *core, struct jl_call *call)
 {
-  uint64_t due_us = core->now_us + CANCEL_WAIT_US;
+  uint64_t due_us = core->now_us + CANCEL_TIMEOUT_US;
 
   call->state = JL_CALL_CANCELLING;
   g_hash_table_insert (core->cancelling, JL_HASH_KEY (call->attempt.number),
                        call);
   jl_entry_send_cancel (core, call);
-  jl_timer_start (core->timers, &call->timer, due_us, cancel_expired, core);
+  jl_timer_start (core->timers, &call->timer, due_us, finish_uncancelled, core);
 }
 
 void
-jl_entry_cancelled (struct jl_core *core, const struct jl_message *message)
+jl_entry_cancel_reply (struct jl_core *core, const struct jl_message *message)
 {
   struct jl_call *call = g_hash_table_lookup (
       core->cancelling, JL_HASH_KEY (message->attempt.number));
@@ -82,49 +91,49 @@
   g_hash_table_remove (core->cancelling, JL_HASH_KEY (call->attempt.number));
   call->state = JL_CALL_NEW;
   if (message->type == JL_MESSAGE_CANCELLED)
-    try_again (core, call, JL_REASON_TARGET_LOST, false);
+    retry_or_finish (core, call, JL_REASON_TARGET_LOST, false);
   else
-    cancel_expired (core, &call->timer);
+    finish_uncancelled (core, &call->timer);
 }
 
 static void
-end_done (struct jl_core *core,
-          struct jl_call *call,
-          const struct jl_event_call_result *event)
+finish_done (struct jl_core *core,
+             struct jl_call *call,
+             const struct jl_event_call_result *event)
 {
   struct jl_effect_answer *answer;
 
   jl_poison_done (core, call->digest);
-  answer = jl_entry_end (core, call, JL_OUTCOME_DONE, JL_REASON_NONE);
+  answer = jl_entry_finish (core, call, JL_OUTCOME_DONE, JL_REASON_NONE);
   answer->report = event->report;
 }
 
 static void
-struck_wait_ended (void *context, struct jl_timer *timer)
+retry_struck (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_call *call = caa_container_of (timer, struct jl_call, timer);
 
-  try_again (core, call, JL_REASON_POISON, false);
+  retry_or_finish (core, call, JL_REASON_POISON, false);
 }
 
-/* The target died, and the call is one of those that may be the cause. */
+/* The target crashed while it ran this call, which may be the cause. */
 static void
 handle_struck (struct jl_core *core, struct jl_call *call)
 {
-  uint64_t due_us = core->now_us + STRIKE_WAIT_US;
+  uint64_t due_us = core->now_us + STRIKE_RETRY_DELAY_US;
 
   jl_poison_strike (core, call->digest, call->member);
   if (call->guarded || jl_poison_refuses (core, call->digest))
     {
-      jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_POISON);
+      jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_POISON);
       return;
     }
   call->state = JL_CALL_NEW;
-  jl_timer_start (core->timers, &call->timer, due_us, struck_wait_ended, core);
+  jl_timer_start (core->timers, &call->timer, due_us, retry_struck, core);
 }
 
-/* The guard has answered. */
+/* Handles the guard's answer. */
 static void
 handle_answer (struct jl_core *core,
                struct jl_call *call,
@@ -134,43 +143,43 @@
   switch (event->outcome)
     {
     case JL_OUTCOME_DONE:
-      end_done (core, call, event);
+      finish_done (core, call, event);
       return;
     case JL_OUTCOME_NOT_RUN:
-      try_again (core, call, event->reason, event->no_retry);
+      retry_or_finish (core, call, event->reason, event->no_retry);
       return;
     case JL_OUTCOME_UNKNOWN:
       call->may_have_run = true;
       if (event->reason == JL_REASON_POISON)
         handle_struck (core, call);
       else if (!call->guarded && event->reason == JL_REASON_TARGET_LOST)
-        try_again (core, call, event->reason, event->no_retry);
+        retry_or_finish (core, call, event->reason, event->no_retry);
       else
-        jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, event->reason);
+        jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, event->reason);
       return;
     }
 }
 
-/* The connection broke while the call may have been running. */
+/* Handles a broken connection; the call may have started to run. */
 static void
 handle_broken (struct jl_core *core, struct jl_call *call)
 {
   jl_members_eject (core, call->member);
-  if (call->guarded && core->now_us < call->sent_us + CANCEL_TRUST_US)
+  if (call->guarded && core->now_us < call->sent_us + CANCEL_ATTEMPT_AGE_MAX_US)
     {
-      begin_cancel (core, call);
+      start_cancel (core, call);
       return;
     }
   call->may_have_run = true;
   jl_entry_send_cancel (core, call);
   if (call->guarded)
-    jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
+    jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
   else
-    try_again (core, call, JL_REASON_TARGET_LOST, false);
+    retry_or_finish (core, call, JL_REASON_TARGET_LOST, false);
 }
 
 static void
-handle_sent_result (struct jl_core *core,
+handle_send_result (struct jl_core *core,
                     struct jl_call *call,
                     const struct jl_event_call_result *event)
 {
@@ -181,7 +190,7 @@
       return;
     case JL_SEND_NOT_SENT:
       jl_members_eject (core, call->member);
-      try_again (core, call, JL_REASON_TARGET_LOST, false);
+      retry_or_finish (core, call, JL_REASON_TARGET_LOST, false);
       return;
     case JL_SEND_BROKEN:
       handle_broken (core, call);
@@ -189,12 +198,12 @@
     case JL_SEND_TIMEOUT:
       jl_entry_send_cancel (core, call);
       call->may_have_run = true;
-      jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TIMEOUT);
+      jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TIMEOUT);
       return;
     }
 }
 
-/* The minter of the ticket has answered, or cannot be reached. */
+/* Handles the end of a forward: the ticket's minter answered, or is lost. */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
@@ -210,17 +219,18 @@
       return;
     }
   if (event->result != JL_SEND_NOT_SENT)
-    jl_withdraw_begin (core, jl_call_receiver (call), call->attempt);
+    jl_cancel_send_until_answered (core, jl_call_receiver (call),
+                                   call->attempt);
   answer
       = jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_HOME_LOST);
   if (event->result == JL_SEND_NOT_SENT)
-    answer->sending = JL_OUTCOME_NOT_RUN;
+    answer->attempt_outcome = JL_OUTCOME_NOT_RUN;
 }
 
 void
-jl_entry_note_result (struct jl_core *core,
-                      const struct jl_call *call,
-                      const struct jl_event_call_result *event)
+jl_entry_record_result (struct jl_core *core,
+                        const struct jl_call *call,
+                        const struct jl_event_call_result *event)
 {
   struct jl_member *member = jl_members_find (core, call->member);
 
@@ -228,16 +238,16 @@
     jl_place_result (core, member, event);
 }
 
-/* Tells the parent's entry what an answer said of the services below. */
+/* Adds an answer's overload report to the report of the parent. */
 static void
-report_answer (struct jl_core *core,
-               struct jl_call *call,
-               const struct jl_report *report)
+merge_report (struct jl_core *core,
+              struct jl_call *call,
+              const struct jl_report *report)
 {
   if (call->parent == NULL)
     return;
   jl_report_merge (&call->parent->report, report);
-  jl_entry_report_service (core, call);
+  jl_entry_report_level (core, call);
 }
 
 void
@@ -254,11 +264,11 @@
   if (call->state != JL_CALL_SENT && call->state != JL_CALL_FORWARDED)
     return;
   if (call->state == JL_CALL_SENT)
-    jl_entry_note_result (core, call, event);
+    jl_entry_record_result (core, call, event);
   if (event->result == JL_SEND_ANSWERED)
     {
       jl_retry_return (core, call, event->tokens);
-      report_answer (core, call, &event->report);
+      merge_report (core, call, &event->report);
       if (call->config == core->config)
         jl_graph_learn (core, call->kind, event->outcome, &event->report);
     }
@@ -268,5 +278,5 @@
   if (call->state == JL_CALL_FORWARDED)
     handle_forward_result (core, call, event);
   else
-    handle_sent_result (core, call, event);
+    handle_send_result (core, call, event);
 }
--- a/source/core/entry-send.c
+++ b/source/core/entry-send.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The entry: from the choice of a target to the sending.
+ * DOC: The entry: choice of a target, sending and forwarding.
  */
 
 #include "entry-impl.h"
@@ -11,9 +11,9 @@
 #include "poison.h"
 #include "retry.h"
 
-/* Begins a sending; its number is never used again. */
+/* Starts an attempt under a number that is never reused. */
 static void
-begin_attempt (struct jl_core *core, struct jl_call *call)
+start_attempt (struct jl_core *core, struct jl_call *call)
 {
   call->sent_us = core->now_us;
   call->attempt.origin = core->identity;
@@ -22,13 +22,16 @@
   core->counts.sends++;
 }
 
-/* Other sendings of the request may have run; this one did not leave. */
+/*
+ * Answers a call that could not be forwarded. It was not run, but other
+ * transmissions of the request may have been.
+ */
 static void
-answer_unforwarded (struct jl_core *core,
-                    struct jl_call *call,
-                    enum jl_reason reason)
+answer_not_forwarded (struct jl_core *core,
+                      struct jl_call *call,
+                      enum jl_reason reason)
 {
-  jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, reason)->sending
+  jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, reason)->attempt_outcome
       = JL_OUTCOME_NOT_RUN;
 }
 
@@ -41,18 +44,18 @@
   if (call->forwarded || minter == NULL
       || minter->info.identity.epoch != call->ticket.minter.epoch)
     {
-      answer_unforwarded (core, call, JL_REASON_HOME_LOST);
+      answer_not_forwarded (core, call, JL_REASON_HOME_LOST);
       return;
     }
   if (core->now_us >= call->deadline_us)
     {
-      answer_unforwarded (core, call, JL_REASON_DEADLINE);
+      answer_not_forwarded (core, call, JL_REASON_DEADLINE);
       return;
     }
   call->state = JL_CALL_FORWARDED;
   call->member = call->ticket.minter.member;
   call->member_epoch = call->ticket.minter.epoch;
-  begin_attempt (core, call);
+  start_attempt (core, call);
   forward = &jl_emit (core, JL_EFFECT_FORWARD)->forward;
   forward->call = call->number;
   forward->attempt = call->attempt;
@@ -71,7 +74,7 @@
 {
   struct jl_effect_send *send;
 
-  begin_attempt (core, call);
+  start_attempt (core, call);
   if (call->sends++ == 0)
     jl_retry_first (core, jl_call_kind (call)->service);
   else
@@ -96,9 +99,8 @@
   send->digest = call->digest;
 }
 
-/* Tells the parent's entry the level of the service that @call is for. */
 void
-jl_entry_report_service (struct jl_core *core, struct jl_call *call)
+jl_entry_report_level (struct jl_core *core, struct jl_call *call)
 {
   uint32_t service = jl_place_service (core, call);
 
@@ -107,38 +109,43 @@
                    jl_place_level (core, service));
 }
 
-/* Answers a call that would be refused further down, before anything ran. */
+/*
+ * Refuses a call before its first attempt, because @service, further down the
+ * call graph, would refuse it. Nothing has run yet.
+ */
 static void
-refuse_below (struct jl_core *core, struct jl_call *call, uint32_t service)
+refuse_for_downstream (struct jl_core *core,
+                       struct jl_call *call,
+                       uint32_t service)
 {
   if (call->parent != NULL)
     jl_report_add (&call->parent->report, service,
                    jl_graph_level (core, service));
-  jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_DOWNSTREAM);
+  jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_DOWNSTREAM);
 }
 
-/* Answers a call for which no target was found. */
+/* Ends a call for which placement found no target. */
 static void
-end_unplaced (struct jl_core *core,
-              struct jl_call *call,
-              enum jl_place_verdict verdict)
+finish_unplaced (struct jl_core *core,
+                 struct jl_call *call,
+                 enum jl_place_verdict verdict)
 {
   enum jl_reason reason = call->last_reason;
 
   if (verdict == JL_PLACE_REFUSED)
     {
-      jl_entry_report_service (core, call);
+      jl_entry_report_level (core, call);
       call->last_retry_after_ms
           = jl_place_retry_after (core, jl_place_service (core, call));
     }
   if (reason == JL_REASON_NONE)
     reason = verdict == JL_PLACE_REFUSED ? JL_REASON_OVERLOAD
                                          : JL_REASON_NO_TARGET;
-  jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, reason);
+  jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, reason);
 }
 
 void
-jl_entry_proceed (struct jl_core *core, struct jl_call *call)
+jl_entry_dispatch (struct jl_core *core, struct jl_call *call)
 {
   struct jl_member *member = NULL;
   enum jl_place_verdict verdict;
@@ -146,25 +153,25 @@
 
   if (core->now_us >= call->deadline_us)
     {
-      jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_DEADLINE);
+      jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_DEADLINE);
       return;
     }
   if (jl_poison_refuses (core, call->digest))
     {
-      jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_POISON);
+      jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, JL_REASON_POISON);
       return;
     }
   if (call->sends == 0 && call->config == core->config
       && jl_graph_refuses (core, call->kind, call->priority, &service))
     {
-      refuse_below (core, call, service);
+      refuse_for_downstream (core, call, service);
       return;
     }
   verdict = jl_place_choose (core, call, &member);
   if (verdict != JL_PLACE_CHOSEN)
-    end_unplaced (core, call, verdict);
+    finish_unplaced (core, call, verdict);
   else if (call->sends > 0 && !jl_retry_spend (core, call))
-    jl_entry_end (core, call, JL_OUTCOME_NOT_RUN, call->last_reason);
+    jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, call->last_reason);
   else
     send_call (core, call, member);
 }
--- a/source/core/entry-stop.c
+++ b/source/core/entry-stop.c
@@ -1,15 +1,19 @@
 /**
- * DOC: The entry: calls that nobody waits for, and members that went silent.
+ * DOC: The entry: cancellation of calls, and retries after the loss of a
+ * member.
  */
 
 #include "entry-impl.h"
 
+#include "cancel.h"
 #include "retry.h"
-#include "withdraw.h"
 
-/* Stops the sending in progress; it may have run, or may still run. */
+/*
+ * Aborts the attempt in progress and cancels it at the receiver. The attempt
+ * may have run, or may still run.
+ */
 static void
-stop_send (struct jl_core *core, struct jl_call *call)
+abort_attempt (struct jl_core *core, struct jl_call *call)
 {
   struct jl_event_call_result ended = { .result = JL_SEND_TIMEOUT };
   struct jl_effect *stop = jl_emit (core, JL_EFFECT_STOP_SEND);
@@ -19,25 +23,26 @@
   call->may_have_run = true;
   if (call->state != JL_CALL_SENT)
     {
-      jl_withdraw_begin (core, jl_call_receiver (call), call->attempt);
+      jl_cancel_send_until_answered (core, jl_call_receiver (call),
+                                     call->attempt);
       return;
     }
   jl_entry_send_cancel (core, call);
-  jl_entry_note_result (core, call, &ended);
+  jl_entry_record_result (core, call, &ended);
 }
 
-/* Sends an idempotent call elsewhere, if a token allows. */
+/* Retries an idempotent call on another member, if it gets a retry token. */
 static void
-leave_member (struct jl_core *core, struct jl_call *call)
+retry_elsewhere (struct jl_core *core, struct jl_call *call)
 {
   if (!jl_retry_spend (core, call))
     return;
-  stop_send (core, call);
+  abort_attempt (core, call);
   call->last_reason = JL_REASON_TARGET_LOST;
   if (call->tried_count < JL_TRIED_MAX)
     call->tried[call->tried_count++] = call->member;
   core->counts.retries++;
-  jl_entry_proceed (core, call);
+  jl_entry_dispatch (core, call);
 }
 
 void
@@ -51,31 +56,31 @@
 
       if (call->state == JL_CALL_SENT && call->member == member
           && !call->guarded && core->options.mode == JL_CORE_FULL)
-        leave_member (core, call);
+        retry_elsewhere (core, call);
     }
   g_list_free (calls);
 }
 
-/* Stops a call that nobody waits for any more. */
+/* Cancels a call whose answer is no longer awaited, and frees it. */
 static void
-stop_call (struct jl_core *core, struct jl_call *call)
+cancel_call (struct jl_core *core, struct jl_call *call)
 {
   if (call->state == JL_CALL_SENT || call->state == JL_CALL_FORWARDED)
-    stop_send (core, call);
+    abort_attempt (core, call);
   if (call->state == JL_CALL_SENT || call->state == JL_CALL_CANCELLING)
-    jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_CANCELLED);
+    jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_CANCELLED);
   else
     jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_CANCELLED);
 }
 
 void
-jl_entry_gone (struct jl_core *core, uint64_t number)
+jl_entry_caller_disconnected (struct jl_core *core, uint64_t number)
 {
   struct jl_call *call
       = g_hash_table_lookup (core->calls, JL_HASH_KEY (number));
 
   if (call != NULL)
-    stop_call (core, call);
+    cancel_call (core, call);
 }
 
 void
@@ -85,5 +90,5 @@
   struct jl_call *next;
 
   cds_list_for_each_entry_safe (call, next, &work->children, siblings)
-      stop_call (core, call);
+      cancel_call (core, call);
 }
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -1,22 +1,25 @@
 /**
- * DOC: The entry: from a call's arrival to its final answer.
+ * DOC: The entry: arrival of calls, idempotency keys and final answers.
  */
 
 #include "entry-impl.h"
 
 #include <string.h>
 
+#include "attempt-table.h"
+#include "cancel.h"
 #include "graph.h"
 #include "member.h"
 #include "once.h"
 #include "place.h"
 #include "poison.h"
 #include "retry.h"
-#include "seen.h"
-#include "withdraw.h"
 
-/* When to come back after an answer that has no better hint. */
-#define RETRY_AFTER_MS 1000
+/*
+ * Retry delay for answers without a more specific one. Jitter of up to the same
+ * amount is added.
+ */
+#define RETRY_AFTER_DEFAULT_MS 1000
 
 const struct jl_kind *
 jl_call_kind (const struct jl_call *call)
@@ -25,14 +28,14 @@
 }
 
 static uint32_t
-class_of (const struct jl_call *call)
+call_class (const struct jl_call *call)
 {
   return call->priority / JL_SAMPLE_COUNT;
 }
 
-/* Answers an event for which no call was made. */
+/* Answers a call that is refused before a struct jl_call exists for it. */
 static void
-answer_event (struct jl_core *core,
+refuse_event (struct jl_core *core,
               const struct jl_event_call *event,
               enum jl_reason reason)
 {
@@ -40,14 +43,18 @@
 
   answer->call = event->call;
   answer->outcome = JL_OUTCOME_NOT_RUN;
-  answer->sending = JL_OUTCOME_NOT_RUN;
+  answer->attempt_outcome = JL_OUTCOME_NOT_RUN;
   answer->reason = reason;
   answer->retry_after_ms
       = reason == JL_REASON_NO_KIND || reason == JL_REASON_MALFORMED
             ? 0
-            : RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
+            : RETRY_AFTER_DEFAULT_MS
+                  + jl_random_below (core, RETRY_AFTER_DEFAULT_MS);
   answer->tokens = event->forwarded ? event->tokens : 0;
-  /* An earlier sending, or the same call of a repeated parent, may have run. */
+  /*
+   * The caller may have sent the request before, or an earlier attempt of the
+   * parent may have made the same call; that one may have run.
+   */
   if (event->key_type != JL_KEY_NONE || event->parent != 0)
     answer->outcome = JL_OUTCOME_UNKNOWN;
 }
@@ -57,7 +64,7 @@
               const struct jl_call *call,
               enum jl_outcome outcome)
 {
-  uint32_t importance = class_of (call);
+  uint32_t importance = call_class (call);
 
   if (outcome == JL_OUTCOME_DONE)
     core->counts.answers_done[importance]++;
@@ -93,25 +100,24 @@
 
   answer->call = call->number;
   answer->outcome = outcome;
-  answer->sending = outcome;
+  answer->attempt_outcome = outcome;
   answer->reason = reason;
   answer->sends = call->sends;
   answer->ticket = call->ticket;
   if (call->parent == NULL)
     answer->tokens = call->tokens;
   if (call->parent == NULL && !call->forwarded)
-    answer->next_ticket = jl_once_mint (core);
+    answer->next_ticket = jl_once_mint_ticket (core);
   count_answer (core, call, outcome);
   free_call (core, call);
   return answer;
 }
 
-/* Ends a call that was sent, or was refused before it was. */
 struct jl_effect_answer *
-jl_entry_end (struct jl_core *core,
-              struct jl_call *call,
-              enum jl_outcome outcome,
-              enum jl_reason reason)
+jl_entry_finish (struct jl_core *core,
+                 struct jl_call *call,
+                 enum jl_outcome outcome,
+                 enum jl_reason reason)
 {
   struct jl_effect_answer *answer;
   bool guarded = call->guarded;
@@ -121,23 +127,30 @@
   if (outcome == JL_OUTCOME_NOT_RUN && call->may_have_run)
     outcome = JL_OUTCOME_UNKNOWN;
   JL_INVARIANT (outcome != JL_OUTCOME_NOT_RUN || !call->may_have_run,
-                "not run is said only when no sending may have run");
+                "not run is reported only if no attempt may have run");
   if (retry_after_ms == 0)
-    retry_after_ms = RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
+    retry_after_ms = RETRY_AFTER_DEFAULT_MS
+                     + jl_random_below (core, RETRY_AFTER_DEFAULT_MS);
   if (guarded)
     retry_after_ms
-        = jl_once_answered (core, call, outcome, reason, retry_after_ms);
+        = jl_once_settle (core, call, outcome, reason, retry_after_ms);
   answer = jl_entry_answer (core, call, outcome, reason);
-  answer->keep = guarded && outcome == JL_OUTCOME_DONE;
+  answer->store = guarded && outcome == JL_OUTCOME_DONE;
   if (outcome != JL_OUTCOME_DONE)
     answer->retry_after_ms = retry_after_ms;
-  /* Nobody keeps account of other sendings of an idempotent request. */
+  /*
+   * Outcomes of idempotent requests are not recorded, so an earlier
+   * transmission under the same key may have run.
+   */
   if (!guarded && keyed && outcome == JL_OUTCOME_NOT_RUN)
     answer->outcome = JL_OUTCOME_UNKNOWN;
   return answer;
 }
 
-/* A sample that is the same for each sending of one request. */
+/*
+ * Returns the priority within the importance class. It is the same for all
+ * transmissions of a request under one key.
+ */
 static uint32_t
 choose_sample (struct jl_core *core, const struct jl_event_call *event)
 {
@@ -175,12 +188,12 @@
   cds_list_add_tail (&call->siblings, &parent->children);
   call->priority = parent->priority;
   call->invested_us = parent->invested_us + (core->now_us - parent->started_us);
-  call->anchor
-      = jl_once_derive (parent->anchor, jl_call_kind (call)->name, ordinal);
+  call->anchor = jl_once_derive_ticket (parent->anchor,
+                                        jl_call_kind (call)->name, ordinal);
 }
 
 static void
-begin_tree (struct jl_core *core,
+start_tree (struct jl_core *core,
             struct jl_call *call,
             const struct jl_event_call *event,
             const struct jl_kind *kind)
@@ -189,14 +202,14 @@
       = kind->importance * JL_SAMPLE_COUNT + choose_sample (core, event);
   call->tokens = kind->retry_tokens;
   call->tokens_begun = call->tokens;
-  call->anchor
-      = event->key_type == JL_KEY_TICKET ? event->ticket : jl_once_mint (core);
+  call->anchor = event->key_type == JL_KEY_TICKET ? event->ticket
+                                                  : jl_once_mint_ticket (core);
 }
 
 static struct jl_call *
-make_call (struct jl_core *core,
-           const struct jl_event_call *event,
-           struct jl_work *parent)
+create_call (struct jl_core *core,
+             const struct jl_event_call *event,
+             struct jl_work *parent)
 {
   struct jl_call *call = g_new0 (struct jl_call, 1);
   const struct jl_kind *kind = &core->config->kinds[event->kind];
@@ -214,7 +227,7 @@
   if (parent != NULL)
     inherit_from_parent (core, call, parent, event->ordinal);
   else
-    begin_tree (core, call, event, kind);
+    start_tree (core, call, event, kind);
   core->caller_calls += parent == NULL;
   if (event->forwarded)
     {
@@ -224,77 +237,85 @@
       call->invested_us = event->invested_us;
     }
   g_hash_table_insert (core->calls, JL_HASH_KEY (call->number), call);
-  core->counts.calls[class_of (call)]++;
+  core->counts.calls[call_class (call)]++;
   return call;
 }
 
-/* Only the minter of its ticket may send a guarded call. */
+/* Only the minter of its ticket may send a guarded call to a target. */
 static void
-proceed_guarded (struct jl_core *core, struct jl_call *call)
+dispatch_guarded (struct jl_core *core, struct jl_call *call)
 {
   if (call->ticket.minter.member != core->identity.member)
     {
       jl_entry_forward (core, call);
       return;
     }
-  if (jl_once_arrive (core, call))
-    jl_entry_proceed (core, call);
+  if (jl_once_grant (core, call))
+    jl_entry_dispatch (core, call);
 }
 
 static void
-claim_expired (void *context, struct jl_timer *timer)
+handle_claim_failure (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_call *call = caa_container_of (timer, struct jl_call, timer);
 
   call->may_have_run = true;
-  jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_PLATFORM)->sending
+  jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_PLATFORM)
+      ->attempt_outcome
       = JL_OUTCOME_NOT_RUN;
 }
 
-/* Asks the platform's table whose ticket a caller's key stands for. */
+/* Claims the caller's key in the platform's table with a new ticket. */
 static void
 claim_key (struct jl_core *core, struct jl_call *call)
 {
   struct jl_effect_claim *claim = &jl_emit (core, JL_EFFECT_CLAIM)->claim;
 
   call->state = JL_CALL_CLAIMING;
-  call->ticket = jl_once_mint (core);
+  call->ticket = jl_once_mint_ticket (core);
   claim->call = call->number;
   claim->key_hash = call->key_hash;
   claim->ticket = call->ticket;
-  jl_timer_start (core->timers, &call->timer, call->deadline_us, claim_expired,
-                  core);
+  jl_timer_start (core->timers, &call->timer, call->deadline_us,
+                  handle_claim_failure, core);
 }
 
-/* Its caller may have given it up and been told of a later sending since. */
+/*
+ * Answers a call that may have waited in the socket while the process was
+ * paused. Its caller may have given up and may already have got an answer to a
+ * later transmission.
+ */
 static void
 answer_stale (struct jl_core *core, struct jl_call *call)
 {
   struct jl_effect_answer *answer
       = jl_entry_answer (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TIMEOUT);
 
-  answer->sending = JL_OUTCOME_NOT_RUN;
+  answer->attempt_outcome = JL_OUTCOME_NOT_RUN;
   answer->retry_after_ms
-      = RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
+      = RETRY_AFTER_DEFAULT_MS + jl_random_below (core, RETRY_AFTER_DEFAULT_MS);
 }
 
-/* Whether the daemon that forwarded a call has given it up already. */
+/*
+ * Whether a forwarded call was abandoned by the daemon that forwarded it. If
+ * not, its attempt is recorded as accepted.
+ */
 static bool
-is_given_up (struct jl_core *core, const struct jl_event_call *event)
+is_abandoned (struct jl_core *core, const struct jl_event_call *event)
 {
   const struct jl_member *from
       = jl_members_find (core, event->attempt.origin.member);
 
   if (!event->forwarded)
     return false;
-  /* The life that sent it is over. */
+  /* The daemon that forwarded it has restarted. */
   if (from != NULL && from->info.identity.epoch > event->attempt.origin.epoch)
     return true;
-  if (jl_seen_find (core, event->attempt) == JL_SEEN_TOMBSTONE
+  if (jl_attempt_find_state (core, event->attempt) == JL_ATTEMPT_TOMBSTONE
       && !JL_SWITCHED_OFF (core, JL_MECHANISM_TOMBSTONE))
     return true;
-  jl_seen_set (core, event->attempt, JL_SEEN_ACCEPTED);
+  jl_attempt_set_state (core, event->attempt, JL_ATTEMPT_ACCEPTED);
   return false;
 }
 
@@ -310,21 +331,23 @@
     }
   if (event->key_type != JL_KEY_CALLER)
     call->ticket = call->anchor;
-  else if (!jl_once_key_ticket (core, event->key_hash, &call->ticket))
+  else if (!jl_once_find_key (core, event->key_hash, &call->ticket))
     {
       claim_key (core, call);
       return;
     }
-  proceed_guarded (core, call);
+  dispatch_guarded (core, call);
 }
 
 /*
- * Whether calls in progress leave no room for one of this importance. Of
- * @call_max the most important class may use all and the least important
- * half, so that a class is refused only while all below it are.
+ * Whether the limit on concurrent calls is reached for this importance class.
+ * The most important class may use all of the call_max option; the share falls
+ * linearly to a little over half for the least important class. A class is thus
+ * refused only while all less important classes are refused too.
  */
 static bool
-is_full (const struct jl_core *core, const struct jl_event_call *event)
+is_call_limit_reached (const struct jl_core *core,
+                       const struct jl_event_call *event)
 {
   uint32_t importance = core->config->kinds[event->kind].importance;
   uint32_t count = core->config->class_count;
@@ -336,16 +359,18 @@
 }
 
 /*
- * Why a call of a caller is refused at once. While it drains, the daemon
- * goes on as an entry, so that callers have time to turn to another one.
+ * Returns the reason to refuse a caller's call on arrival, if there is one. A
+ * draining daemon still takes calls for a while, so that callers have time to
+ * switch to another entry.
  */
 static enum jl_reason
-check_caller (const struct jl_core *core, const struct jl_event_call *event)
+find_refusal_reason (const struct jl_core *core,
+                     const struct jl_event_call *event)
 {
   if (core->draining && !event->forwarded
       && core->now_us >= core->drain_refuse_us)
     return JL_REASON_DRAINING;
-  if (is_full (core, event))
+  if (is_call_limit_reached (core, event))
     return JL_REASON_OVERLOAD;
   return JL_REASON_NONE;
 }
@@ -359,13 +384,13 @@
 
   if (core->config == NULL)
     {
-      answer_event (core, event, JL_REASON_NO_CONFIG);
+      refuse_event (core, event, JL_REASON_NO_CONFIG);
       return;
     }
   if (event->kind >= core->config->kind_count
       || event->config_version != core->config->version)
     {
-      answer_event (core, event, JL_REASON_NO_KIND);
+      refuse_event (core, event, JL_REASON_NO_KIND);
       return;
     }
   if (event->parent != 0)
@@ -374,25 +399,25 @@
       if (parent == NULL || parent->state != JL_WORK_RUNNING
           || parent->cancelled)
         {
-          answer_event (core, event, JL_REASON_CANCELLED);
+          refuse_event (core, event, JL_REASON_CANCELLED);
           return;
         }
     }
-  else if ((reason = check_caller (core, event)) != JL_REASON_NONE)
+  else if ((reason = find_refusal_reason (core, event)) != JL_REASON_NONE)
     {
-      answer_event (core, event, reason);
+      refuse_event (core, event, reason);
       return;
     }
-  if (is_given_up (core, event))
+  if (is_abandoned (core, event))
     {
-      answer_event (core, event, JL_REASON_CANCELLED);
+      refuse_event (core, event, JL_REASON_CANCELLED);
       return;
     }
-  call = make_call (core, event, parent);
+  call = create_call (core, event, parent);
   if (call->guarded)
     begin_guarded (core, call, event);
   else
-    jl_entry_proceed (core, call);
+    jl_entry_dispatch (core, call);
 }
 
 void
@@ -406,12 +431,12 @@
     return;
   if (!event->known)
     {
-      claim_expired (core, &call->timer);
+      handle_claim_failure (core, &call->timer);
       return;
     }
   jl_timer_stop (core->timers, &call->timer);
   call->state = JL_CALL_NEW;
   call->ticket = event->owner_ticket;
-  jl_once_learn_key (core, call->key_hash, call->ticket);
-  proceed_guarded (core, call);
+  jl_once_store_key (core, call->key_hash, call->ticket);
+  dispatch_guarded (core, call);
 }
--- a/source/core/entry.h
+++ b/source/core/entry.h
@@ -2,52 +2,73 @@
 #define JACKDAWLADDER_ENTRY_H
 
 /**
- * DOC: The entry, where calls of callers and of the own target come in.
+ * DOC: The entry, which takes calls from callers and from the local target.
  */
 
 #include "core-impl.h"
 
+/**
+ * jl_entry_call - handles the arrival of a call
+ */
 void jl_entry_call (struct jl_core *core, const struct jl_event_call *event);
+
+/**
+ * jl_entry_result - handles the result of an attempt
+ *
+ * A result that does not belong to the attempt in progress is ignored.
+ */
 void jl_entry_result (struct jl_core *core,
                       const struct jl_event_call_result *event);
-void jl_entry_gone (struct jl_core *core, uint64_t call);
+
+/**
+ * jl_entry_caller_disconnected - cancels @call, whose answer is no longer
+ * awaited
+ */
+void jl_entry_caller_disconnected (struct jl_core *core, uint64_t call);
+
+/**
+ * jl_entry_claim_result - handles the result of a claim of a caller's key
+ */
 void jl_entry_claim_result (struct jl_core *core,
                             const struct jl_event_claim_result *event);
 
 /**
- * jl_entry_cancelled - a guard answers a cancellation
+ * jl_entry_cancel_reply - handles a guard's reply to a cancellation
  */
-void jl_entry_cancelled (struct jl_core *core,
-                         const struct jl_message *message);
+void jl_entry_cancel_reply (struct jl_core *core,
+                            const struct jl_message *message);
 
 /**
- * jl_entry_work_ended - the work that made some calls is over; they are
- * stopped
+ * jl_entry_work_ended - cancels the calls that @work made; it has ended or was
+ * cancelled
  */
 void jl_entry_work_ended (struct jl_core *core, struct jl_work *work);
 
 /**
- * jl_entry_member_lost - @member is silent; idempotent calls that were sent
- * there go elsewhere, as far as their tokens allow
+ * jl_entry_member_lost - retries the idempotent calls that were sent to
+ * @member, which no longer responds
+ *
+ * A call that gets no retry token stays where it is.
  */
 void jl_entry_member_lost (struct jl_core *core, uint64_t member);
 
 /**
- * jl_entry_proceed - chooses a target for @call and sends it there, or answers
+ * jl_entry_dispatch - chooses a target for @call and sends it there
  *
- * For a new call, and for a call that is to be retried.
+ * If no attempt is possible or allowed, the call ends with an answer. Used for
+ * the first attempt and for retries.
  */
-void jl_entry_proceed (struct jl_core *core, struct jl_call *call);
+void jl_entry_dispatch (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_entry_forward - sends @call on to the minter of its ticket
+ * jl_entry_forward - forwards @call to the daemon that minted its ticket
  */
 void jl_entry_forward (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_entry_answer - gives @call its final answer and frees it
+ * jl_entry_answer - emits the final answer of @call and frees the call
  *
- * Return: the JL_EFFECT_ANSWER, for its remaining fields.
+ * Return: the answer, so that the caller can fill in the remaining fields.
  */
 struct jl_effect_answer *jl_entry_answer (struct jl_core *core,
                                           struct jl_call *call,
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -7,12 +7,12 @@
 #include <string.h>
 
 #include "admit.h"
+#include "attempt-table.h"
 #include "entry.h"
 #include "graph.h"
 #include "member.h"
 #include "once.h"
 #include "poison.h"
-#include "seen.h"
 
 /* An announcement holds this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
@@ -177,19 +177,19 @@
 void
 jl_guard_work (struct jl_core *core, const struct jl_event_work *event)
 {
-  enum jl_seen seen = jl_seen_find (core, event->attempt);
+  enum jl_attempt_state seen = jl_attempt_find_state (core, event->attempt);
   enum jl_reason reason;
   struct jl_work *work;
 
-  if (seen == JL_SEEN_TOMBSTONE
+  if (seen == JL_ATTEMPT_TOMBSTONE
       && JL_SWITCHED_OFF (core, JL_MECHANISM_TOMBSTONE))
-    seen = JL_SEEN_NEVER;
-  if (seen == JL_SEEN_TOMBSTONE)
+    seen = JL_ATTEMPT_UNSEEN;
+  if (seen == JL_ATTEMPT_TOMBSTONE)
     {
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, JL_REASON_CANCELLED);
       return;
     }
-  if (seen != JL_SEEN_NEVER)
+  if (seen != JL_ATTEMPT_UNSEEN)
     {
       refuse_event (core, event, JL_OUTCOME_UNKNOWN, JL_REASON_DUPLICATE);
       return;
@@ -197,12 +197,12 @@
   reason = check_event (core, event);
   if (reason != JL_REASON_NONE)
     {
-      jl_seen_set (core, event->attempt, JL_SEEN_TOMBSTONE);
+      jl_attempt_set_state (core, event->attempt, JL_ATTEMPT_TOMBSTONE);
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, reason);
       return;
     }
-  jl_seen_set (core, event->attempt, JL_SEEN_ACCEPTED);
-  jl_seen_set_work (core, event->attempt, event->work);
+  jl_attempt_set_state (core, event->attempt, JL_ATTEMPT_ACCEPTED);
+  jl_attempt_set_work (core, event->attempt, event->work);
   work = make_work (core, event);
   core->counts.works[work->priority / JL_SAMPLE_COUNT]++;
   jl_admit_arrive (core, work);
@@ -239,7 +239,7 @@
 {
   JL_INVARIANT (work->state == JL_WORK_WAITING,
                 "only what has not started is refused as not run");
-  jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
+  jl_attempt_set_state (core, work->attempt, JL_ATTEMPT_TOMBSTONE);
   core->counts.refused[work->priority / JL_SAMPLE_COUNT]++;
   core->counts.refused_reason[reason]++;
   finish_work (core, work, JL_OUTCOME_NOT_RUN, reason)->retry_after_ms
@@ -258,7 +258,7 @@
   work->started_us = core->now_us;
   work->target_started = core->target.started;
   if (!kind_of (work)->idempotent)
-    work->anchor = jl_once_mint (core);
+    work->anchor = jl_once_mint_ticket (core);
   core->counts.runs[work->priority / JL_SAMPLE_COUNT]++;
   run = &jl_emit (core, JL_EFFECT_RUN)->run;
   run->work = work->number;
@@ -294,7 +294,7 @@
       finish_work (core, work, JL_OUTCOME_DONE, JL_REASON_NONE);
       return;
     case JL_RUN_NOT_SENT:
-      jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
+      jl_attempt_set_state (core, work->attempt, JL_ATTEMPT_TOMBSTONE);
       if (work->target_started == core->target.started)
         target_down (core, JL_REASON_TARGET_LOST);
       finish_work (core, work, JL_OUTCOME_NOT_RUN, JL_REASON_TARGET_LOST);
@@ -334,7 +334,7 @@
 void
 jl_guard_cancel (struct jl_core *core, const struct jl_message *message)
 {
-  uint64_t number = jl_seen_work (core, message->attempt);
+  uint64_t number = jl_attempt_find_work (core, message->attempt);
   struct jl_work *work
       = g_hash_table_lookup (core->works, JL_HASH_KEY (number));
 
@@ -355,10 +355,11 @@
       jl_entry_work_ended (core, work);
       jl_emit (core, JL_EFFECT_ABORT)->abort_work = work->number;
     }
-  if (jl_seen_find (core, message->attempt) == JL_SEEN_NEVER)
-    jl_seen_set (core, message->attempt, JL_SEEN_TOMBSTONE);
+  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNSEEN)
+    jl_attempt_set_state (core, message->attempt, JL_ATTEMPT_TOMBSTONE);
   answer_cancel (core, message,
-                 jl_seen_find (core, message->attempt) == JL_SEEN_TOMBSTONE
+                 jl_attempt_find_state (core, message->attempt)
+                         == JL_ATTEMPT_TOMBSTONE
                      ? JL_MESSAGE_CANCELLED
                      : JL_MESSAGE_CANCEL_LATE);
 }
@@ -385,7 +386,7 @@
 void
 jl_guard_check_drained (struct jl_core *core)
 {
-  if (!core->draining || core->left || core->drain_linger.index != 0)
+  if (!core->draining || core->left || core->drain_linger.heap_position != 0)
     return;
   if ((g_hash_table_size (core->works) > 0
        || g_hash_table_size (core->calls) > 0)
--- a/source/core/member-fetch.c
+++ b/source/core/member-fetch.c
@@ -74,7 +74,8 @@
                 uint64_t version)
 {
   member->config_version = MAX (member->config_version, version);
-  if (version > version_in_force (core) && core->members->fetch.index == 0)
+  if (version > version_in_force (core)
+      && core->members->fetch.heap_position == 0)
     fetch_from (core, member);
 }
 
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -213,7 +213,7 @@
   member->gossip_left = REPEAT_FACTOR * bits;
   members->news_count++;
   cds_list_add (&member->news, &members->fresh_news);
-  if (members->push.index != 0)
+  if (members->push.heap_position != 0)
     return;
   if (members->pushed_us != 0)
     due_us = MAX (due_us, members->pushed_us + PUSH_INTERVAL_US);
--- a/source/core/member-join.c
+++ b/source/core/member-join.c
@@ -184,7 +184,8 @@
 {
   struct jl_timer *timer = &core->members->sync;
 
-  if (timer->index != 0 && timer->due_us <= core->now_us + COMPARE_SOON_US)
+  if (timer->heap_position != 0
+      && timer->due_us <= core->now_us + COMPARE_SOON_US)
     return;
   jl_timer_start (core->timers, timer,
                   core->now_us + COMPARE_SOON_US / 2
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tickets, and the state of each one that was used.
+ * DOC: At-most-once execution: used tickets and callers' keys.
  */
 
 #include "once.h"
@@ -11,27 +11,30 @@
 
 #include "entry.h"
 
-/* A used ticket's state is kept this long, an unused one holds this long. */
-#define TICKET_KEEP_US (600 * JL_USEC_PER_SEC)
-/* Used tickets kept at most; the oldest expire early beyond. */
+/*
+ * Time for which the state of a used ticket is kept, and for which an unused
+ * ticket is valid.
+ */
+#define TICKET_RETENTION_US (600 * JL_USEC_PER_SEC)
+/* Maximum number of used tickets; beyond it the oldest expire early. */
 #define TICKET_MAX (256 * 1024)
-/* How often the lowest number that still holds is noted. */
-#define MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
-#define MARK_COUNT 64
-/* The table of keys only spares reads of the platform's table. */
-#define KEY_KEEP_US (600 * JL_USEC_PER_SEC)
+/* Interval at which the highest number minted so far is recorded. */
+#define MINT_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
+#define MINT_MARK_MAX 64
+/* The key table is a cache; the platform's table is authoritative. */
+#define KEY_RETENTION_US (600 * JL_USEC_PER_SEC)
 #define KEY_MAX (64 * 1024)
-/* When to ask again for a request that is in progress. */
-#define IN_PROGRESS_RETRY_MS 200
-/* Least time for which a refused request is not granted again. */
-#define HOLD_MIN_MS 500
+/* Retry delay for a duplicate of a request that is in progress. */
+#define IN_PROGRESS_RETRY_AFTER_MS 200
+/* Minimum time after a refusal during which no further run is granted. */
+#define REGRANT_DELAY_MIN_MS 500
 
 /**
- * enum ticket_state - what is known of a used ticket
- * @TICKET_IDLE: every sending under it has not run
- * @TICKET_IN_PROGRESS: a sending is out
- * @TICKET_DONE: it ran, and its answer was whole
- * @TICKET_UNKNOWN: it may have run; it is never sent again
+ * enum ticket_state - state of a used ticket
+ * @TICKET_IDLE: no attempt under it has run
+ * @TICKET_IN_PROGRESS: a run is granted and has not ended
+ * @TICKET_DONE: the request ran and was answered completely
+ * @TICKET_UNKNOWN: the request may have run and is never sent again
  */
 enum ticket_state
 {
@@ -42,12 +45,14 @@
 };
 
 /**
- * struct ticket_entry - one used ticket
- * @may_have_run: some grant was not confirmed as not run
- * @reason: why it was not run, with TICKET_IDLE
- * @held_until_us: no grant before, see jl_once_answered()
- * @settled_us: when its last grant ended
- * @order: place in the order of @settled_us; in no list while in progress
+ * struct ticket_entry - a used ticket
+ * @may_have_run: a granted run was not confirmed as not run
+ * @reason: why the request was not run, with TICKET_IDLE
+ * @digest: digest of the request's content
+ * @tokens: retry tokens that the request has left
+ * @regrant_after_us: no run is granted before, see jl_once_settle()
+ * @settled_us: time at which its last granted run ended
+ * @order: link in the list by @settled_us; unlinked while a run is in progress
  */
 struct ticket_entry
 {
@@ -57,26 +62,26 @@
   enum jl_reason reason;
   uint64_t digest;
   uint32_t tokens;
-  uint64_t held_until_us;
+  uint64_t regrant_after_us;
   uint64_t settled_us;
   struct cds_list_head order;
 };
 
 /**
- * struct key_entry - a caller's key and the ticket it stands for
+ * struct key_entry - a caller's key and its ticket
  */
 struct key_entry
 {
   uint64_t key_hash;
   struct jl_ticket ticket;
-  uint64_t learned_us;
+  uint64_t stored_us;
   struct cds_list_head order;
 };
 
 /**
- * struct mark - the highest number minted at a time
+ * struct mint_mark - the highest ticket number minted by a point in time
  */
-struct mark
+struct mint_mark
 {
   uint64_t number;
   uint64_t minted_us;
@@ -84,15 +89,19 @@
 
 /**
  * struct jl_once - tickets and keys of one daemon
- * @expired_below: numbers up to this one hold no longer
+ * @minted: highest ticket number minted
+ * @expired_upto: highest expired ticket number
+ * @mark_first: index of the oldest element of @marks, which is a ring buffer
+ * @order: used tickets without a run in progress, by the end of their last run
+ * @key_order: keys in the order in which they were stored
  */
 struct jl_once
 {
   uint64_t minted;
-  uint64_t expired_below;
+  uint64_t expired_upto;
   uint32_t mark_first;
   uint32_t mark_count;
-  struct mark marks[MARK_COUNT];
+  struct mint_mark marks[MINT_MARK_MAX];
   GHashTable *tickets;
   GHashTable *keys;
   struct cds_list_head order;
@@ -136,54 +145,57 @@
   g_free (once);
 }
 
-/* Moves the limit of expired numbers up to the last mark past its time. */
+/* Expires ticket numbers by the mint marks that are past their time. */
 static void
-expire_marks (struct jl_core *core)
+expire_mint_marks (struct jl_core *core)
 {
   struct jl_once *once = core->once;
 
   while (once->mark_count > 0)
     {
-      const struct mark *mark = &once->marks[once->mark_first];
+      const struct mint_mark *mark = &once->marks[once->mark_first];
 
-      if (mark->minted_us + TICKET_KEEP_US > core->now_us)
+      if (mark->minted_us + TICKET_RETENTION_US > core->now_us)
         return;
-      once->expired_below = mark->number;
-      once->mark_first = (once->mark_first + 1) % MARK_COUNT;
+      once->expired_upto = mark->number;
+      once->mark_first = (once->mark_first + 1) % MINT_MARK_MAX;
       once->mark_count--;
     }
 }
 
+/* Records the highest number minted, at most once per interval. */
 static void
-add_mark (struct jl_core *core)
+add_mint_mark (struct jl_core *core)
 {
   struct jl_once *once = core->once;
-  uint32_t last = (once->mark_first + once->mark_count - 1) % MARK_COUNT;
+  uint32_t last = (once->mark_first + once->mark_count - 1) % MINT_MARK_MAX;
 
-  if (once->mark_count == MARK_COUNT)
+  if (once->mark_count == MINT_MARK_MAX)
     return;
   if (once->mark_count > 0
-      && once->marks[last].minted_us + MARK_INTERVAL_US > core->now_us)
+      && once->marks[last].minted_us + MINT_MARK_INTERVAL_US > core->now_us)
     return;
-  last = (once->mark_first + once->mark_count) % MARK_COUNT;
+  last = (once->mark_first + once->mark_count) % MINT_MARK_MAX;
   once->marks[last].number = once->minted;
   once->marks[last].minted_us = core->now_us;
   once->mark_count++;
 }
 
 struct jl_ticket
-jl_once_mint (struct jl_core *core)
+jl_once_mint_ticket (struct jl_core *core)
 {
   struct jl_ticket ticket = { .minter = core->identity };
 
-  expire_marks (core);
+  expire_mint_marks (core);
   ticket.number = ++core->once->minted;
-  add_mark (core);
+  add_mint_mark (core);
   return ticket;
 }
 
 struct jl_ticket
-jl_once_derive (struct jl_ticket anchor, const char *kind, uint32_t ordinal)
+jl_once_derive_ticket (struct jl_ticket anchor,
+                       const char *kind,
+                       uint32_t ordinal)
 {
   uint64_t step[2] = { anchor.branch, ordinal };
 
@@ -192,7 +204,11 @@
   return anchor;
 }
 
-/* Forgets tickets that are past their time, and their numbers with them. */
+/*
+ * Removes used tickets that are past their time or in excess of the maximum.
+ * Their numbers, and all lower ones, expire, so that an unused ticket with such
+ * a number isn't valid any more either.
+ */
 static void
 expire_tickets (struct jl_core *core)
 {
@@ -203,17 +219,17 @@
       struct ticket_entry *oldest
           = cds_list_first_entry (&once->order, struct ticket_entry, order);
 
-      if (oldest->settled_us + TICKET_KEEP_US > core->now_us
+      if (oldest->settled_us + TICKET_RETENTION_US > core->now_us
           && g_hash_table_size (once->tickets) <= TICKET_MAX)
         return;
-      once->expired_below = MAX (once->expired_below, oldest->ticket.number);
+      once->expired_upto = MAX (once->expired_upto, oldest->ticket.number);
       cds_list_del (&oldest->order);
       g_hash_table_remove (once->tickets, &oldest->ticket);
     }
 }
 
 static struct ticket_entry *
-use_ticket (struct jl_core *core, const struct jl_call *call)
+add_ticket_entry (struct jl_core *core, const struct jl_call *call)
 {
   struct ticket_entry *entry = g_new0 (struct ticket_entry, 1);
 
@@ -225,17 +241,18 @@
   return entry;
 }
 
-/* Lets the call under this ticket be sent. */
+/* Grants a run under a ticket. */
 static void
 grant (struct ticket_entry *entry)
 {
   JL_INVARIANT (entry->state == TICKET_IDLE, "one grant of a ticket at a time");
-  JL_INVARIANT (!entry->may_have_run, "no grant after one that may have run");
+  JL_INVARIANT (!entry->may_have_run,
+                "no grant after a run that may have taken place");
   entry->state = TICKET_IN_PROGRESS;
   cds_list_del_init (&entry->order);
 }
 
-/* The grant has ended. */
+/* Records the end of a granted run. */
 static void
 settle (struct jl_core *core,
         struct ticket_entry *entry,
@@ -248,72 +265,73 @@
   expire_tickets (core);
 }
 
-/* Answers a call that may not be sent. */
+/* Answers a call that may not be sent. Returns false for jl_once_grant(). */
 static bool
-answer_unsent (struct jl_core *core,
-               struct jl_call *call,
-               enum jl_outcome outcome,
-               enum jl_reason reason,
-               uint32_t retry_after_ms)
+answer_ungranted (struct jl_core *core,
+                  struct jl_call *call,
+                  enum jl_outcome outcome,
+                  enum jl_reason reason,
+                  uint32_t retry_after_ms)
 {
   struct jl_effect_answer *answer
       = jl_entry_answer (core, call, outcome, reason);
 
   answer->retry_after_ms = retry_after_ms;
-  answer->stored = outcome == JL_OUTCOME_DONE;
+  answer->replay_stored = outcome == JL_OUTCOME_DONE;
   if (outcome != JL_OUTCOME_DONE)
-    answer->sending = JL_OUTCOME_NOT_RUN;
+    answer->attempt_outcome = JL_OUTCOME_NOT_RUN;
   return false;
 }
 
-/* Whether the number was minted in this life and still holds. */
+/* Whether this process minted the ticket and the ticket has not expired. */
 static bool
-is_valid (const struct jl_core *core, struct jl_ticket ticket)
+is_ticket_valid (const struct jl_core *core, struct jl_ticket ticket)
 {
   return jl_identity_equal (ticket.minter, core->identity)
          && ticket.number <= core->once->minted
-         && ticket.number > core->once->expired_below;
+         && ticket.number > core->once->expired_upto;
 }
 
-/* Answers a sending of a request that was just told "not run". */
+/* Answers a request whose last outcome, "not run", is still recent. */
 static bool
-answer_held (struct jl_core *core,
-             struct jl_call *call,
-             const struct ticket_entry *entry)
+answer_too_early (struct jl_core *core,
+                  struct jl_call *call,
+                  const struct ticket_entry *entry)
 {
-  uint64_t wait_us = entry->held_until_us - core->now_us;
+  uint64_t wait_us = entry->regrant_after_us - core->now_us;
 
-  return answer_unsent (core, call, JL_OUTCOME_NOT_RUN, entry->reason,
-                        (uint32_t)(wait_us / JL_USEC_PER_MSEC) + 1);
+  return answer_ungranted (core, call, JL_OUTCOME_NOT_RUN, entry->reason,
+                           (uint32_t)(wait_us / JL_USEC_PER_MSEC) + 1);
 }
 
-/* Grants a run under a ticket that was used before, or answers. */
+/* Grants a run under a ticket that was used before, or answers the call. */
 static bool
-arrive_again (struct jl_core *core,
-              struct jl_call *call,
-              struct ticket_entry *entry)
+grant_used_ticket (struct jl_core *core,
+                   struct jl_call *call,
+                   struct ticket_entry *entry)
 {
   if (entry->digest != call->digest)
-    return answer_unsent (core, call,
-                          entry->state == TICKET_IDLE ? JL_OUTCOME_NOT_RUN
-                                                      : JL_OUTCOME_UNKNOWN,
-                          JL_REASON_KEY_REUSED, 0);
+    return answer_ungranted (core, call,
+                             entry->state == TICKET_IDLE ? JL_OUTCOME_NOT_RUN
+                                                         : JL_OUTCOME_UNKNOWN,
+                             JL_REASON_KEY_REUSED, 0);
   switch (entry->state)
     {
     case TICKET_IN_PROGRESS:
-      return answer_unsent (core, call, JL_OUTCOME_UNKNOWN,
-                            JL_REASON_IN_PROGRESS, IN_PROGRESS_RETRY_MS);
+      return answer_ungranted (core, call, JL_OUTCOME_UNKNOWN,
+                               JL_REASON_IN_PROGRESS,
+                               IN_PROGRESS_RETRY_AFTER_MS);
     case TICKET_DONE:
-      return answer_unsent (core, call, JL_OUTCOME_DONE, JL_REASON_NONE, 0);
+      return answer_ungranted (core, call, JL_OUTCOME_DONE, JL_REASON_NONE, 0);
     case TICKET_UNKNOWN:
-      return answer_unsent (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_DUPLICATE,
-                            0);
+      return answer_ungranted (core, call, JL_OUTCOME_UNKNOWN,
+                               JL_REASON_DUPLICATE, 0);
     case TICKET_IDLE:
       break;
     }
-  if (core->now_us < entry->held_until_us)
-    return answer_held (core, call, entry);
-  /* Tokens of a call further down were lent by its tree already. */
+  if (core->now_us < entry->regrant_after_us)
+    return answer_too_early (core, call, entry);
+  /* A call below the root of its tree uses tokens that the tree lent to it. */
   if (call->ticket.branch == 0)
     call->tokens = MIN (call->tokens, entry->tokens);
   grant (entry);
@@ -321,30 +339,30 @@
 }
 
 bool
-jl_once_arrive (struct jl_core *core, struct jl_call *call)
+jl_once_grant (struct jl_core *core, struct jl_call *call)
 {
   struct ticket_entry *entry;
 
   if (JL_SWITCHED_OFF (core, JL_MECHANISM_ONCE))
     return true;
-  expire_marks (core);
+  expire_mint_marks (core);
   expire_tickets (core);
   entry = g_hash_table_lookup (core->once->tickets, &call->ticket);
   if (entry != NULL)
-    return arrive_again (core, call, entry);
-  if (!is_valid (core, call->ticket))
-    return answer_unsent (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_HOME_LOST,
-                          0);
-  grant (use_ticket (core, call));
+    return grant_used_ticket (core, call, entry);
+  if (!is_ticket_valid (core, call->ticket))
+    return answer_ungranted (core, call, JL_OUTCOME_UNKNOWN,
+                             JL_REASON_HOME_LOST, 0);
+  grant (add_ticket_entry (core, call));
   return true;
 }
 
 uint32_t
-jl_once_answered (struct jl_core *core,
-                  struct jl_call *call,
-                  enum jl_outcome outcome,
-                  enum jl_reason reason,
-                  uint32_t retry_after_ms)
+jl_once_settle (struct jl_core *core,
+                struct jl_call *call,
+                enum jl_outcome outcome,
+                enum jl_reason reason,
+                uint32_t retry_after_ms)
 {
   struct ticket_entry *entry;
 
@@ -353,10 +371,10 @@
   entry = g_hash_table_lookup (core->once->tickets, &call->ticket);
   JL_INVARIANT (entry != NULL && entry->state == TICKET_IN_PROGRESS,
                 "only a granted ticket is answered");
-  retry_after_ms = MAX (retry_after_ms, HOLD_MIN_MS);
+  retry_after_ms = MAX (retry_after_ms, REGRANT_DELAY_MIN_MS);
   entry->tokens = call->tokens;
   entry->reason = reason;
-  entry->held_until_us = core->now_us + retry_after_ms * JL_USEC_PER_MSEC;
+  entry->regrant_after_us = core->now_us + retry_after_ms * JL_USEC_PER_MSEC;
   if (outcome == JL_OUTCOME_DONE)
     settle (core, entry, TICKET_DONE);
   else if (outcome == JL_OUTCOME_NOT_RUN)
@@ -373,7 +391,7 @@
   g_hash_table_remove (once->keys, JL_HASH_KEY (entry->key_hash));
 }
 
-/* Forgets keys that are past their time, and the oldest when there are many. */
+/* Removes keys that are past their time, and the oldest beyond the maximum. */
 static void
 expire_keys (struct jl_core *core)
 {
@@ -384,7 +402,7 @@
       struct key_entry *oldest
           = cds_list_first_entry (&once->key_order, struct key_entry, order);
 
-      if (oldest->learned_us + KEY_KEEP_US > core->now_us
+      if (oldest->stored_us + KEY_RETENTION_US > core->now_us
           && g_hash_table_size (once->keys) <= KEY_MAX)
         return;
       drop_key (once, oldest);
@@ -392,9 +410,9 @@
 }
 
 bool
-jl_once_key_ticket (struct jl_core *core,
-                    uint64_t key_hash,
-                    struct jl_ticket *ticket)
+jl_once_find_key (struct jl_core *core,
+                  uint64_t key_hash,
+                  struct jl_ticket *ticket)
 {
   struct key_entry *entry;
 
@@ -407,7 +425,7 @@
 }
 
 void
-jl_once_learn_key (struct jl_core *core,
+jl_once_store_key (struct jl_core *core,
                    uint64_t key_hash,
                    struct jl_ticket ticket)
 {
@@ -420,7 +438,7 @@
   entry = g_new0 (struct key_entry, 1);
   entry->key_hash = key_hash;
   entry->ticket = ticket;
-  entry->learned_us = core->now_us;
+  entry->stored_us = core->now_us;
   cds_list_add_tail (&entry->order, &once->key_order);
   g_hash_table_insert (once->keys, JL_HASH_KEY (key_hash), entry);
   expire_keys (core);
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -2,10 +2,11 @@
 #define JACKDAWLADDER_ONCE_H
 
 /**
- * DOC: At most once: tickets, and who may grant a run under them.
+ * DOC: At-most-once execution of requests that are not idempotent.
  *
- * Only the daemon that minted a ticket grants runs under it, one at a time,
- * and none after one that may have run. When it is gone, nobody grants.
+ * A ticket identifies a request. Only the daemon that minted the ticket grants
+ * runs under it: one at a time, and none after a run that may have taken place.
+ * If that daemon fails or restarts, no run is granted any more.
  */
 
 #include "core-impl.h"
@@ -14,58 +15,67 @@
 void jl_once_drop (struct jl_once *once);
 
 /**
- * jl_once_mint - a fresh ticket of this daemon
+ * jl_once_mint_ticket - returns a new ticket minted by this daemon
  */
-struct jl_ticket jl_once_mint (struct jl_core *core);
+struct jl_ticket jl_once_mint_ticket (struct jl_core *core);
 
 /**
- * jl_once_derive - ticket of a call that a target makes further down
- * @anchor: that of the run which makes the call
- * @kind: its kind by name, since an index differs between configurations
+ * jl_once_derive_ticket - returns the ticket of a call that a target makes
+ * @anchor: anchor of the work item during which the target makes the call
+ * @kind: name of the call's kind; its index may differ between configurations
+ * @ordinal: see struct jl_event_call
  *
- * The branch hashes the whole path down the tree; a collision of two paths of
- * one tree is as good as impossible at 64 bits.
+ * The branch of the ticket is a hash of the path down the call tree. At 64 bits
+ * a collision between two paths of one tree is very unlikely.
  */
-struct jl_ticket
-jl_once_derive (struct jl_ticket anchor, const char *kind, uint32_t ordinal);
+struct jl_ticket jl_once_derive_ticket (struct jl_ticket anchor,
+                                        const char *kind,
+                                        uint32_t ordinal);
 
 /**
- * jl_once_arrive - a call under a ticket arrives at its minter
+ * jl_once_grant - grants a run of @call under its ticket, which this daemon
+ * minted
  *
- * Return: true when it may be sent. On false it has been answered.
+ * Return: true if the call may be sent; false if it was answered instead.
  */
-bool jl_once_arrive (struct jl_core *core, struct jl_call *call);
+bool jl_once_grant (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_once_answered - records the final outcome of the sending in progress
- * @outcome: JL_OUTCOME_NOT_RUN lets the request be sent again
- * @retry_after_ms: when the caller will be told to come back
+ * jl_once_settle - records the final outcome of a granted run
+ * @outcome: after JL_OUTCOME_NOT_RUN another run may be granted
+ * @retry_after_ms: retry delay that the caller will be given
  *
- * A request that was not run is not granted again before that time, since
- * what arrives earlier may be a sending that its caller has given up.
+ * After JL_OUTCOME_NOT_RUN no run is granted until the retry delay is over: a
+ * transmission that arrives earlier may be one that its caller has abandoned.
  *
- * Return: @retry_after_ms, or more.
+ * Return: retry delay to give to the caller, at least @retry_after_ms.
  */
-uint32_t jl_once_answered (struct jl_core *core,
-                           struct jl_call *call,
-                           enum jl_outcome outcome,
-                           enum jl_reason reason,
-                           uint32_t retry_after_ms);
+uint32_t jl_once_settle (struct jl_core *core,
+                         struct jl_call *call,
+                         enum jl_outcome outcome,
+                         enum jl_reason reason,
+                         uint32_t retry_after_ms);
 
 /**
- * jl_once_key_ticket - the ticket that a caller's key is known to stand for
+ * jl_once_find_key - looks up the ticket of a caller's key
+ *
+ * Return: false if the key isn't in the local table.
  */
-bool jl_once_key_ticket (struct jl_core *core,
-                         uint64_t key_hash,
-                         struct jl_ticket *ticket);
+bool jl_once_find_key (struct jl_core *core,
+                       uint64_t key_hash,
+                       struct jl_ticket *ticket);
 
 /**
- * jl_once_learn_key - the platform's table says whose ticket a key stands for
+ * jl_once_store_key - stores the ticket of a caller's key, as read from the
+ * platform's table
  */
-void jl_once_learn_key (struct jl_core *core,
+void jl_once_store_key (struct jl_core *core,
                         uint64_t key_hash,
                         struct jl_ticket ticket);
 
+/**
+ * jl_once_dump - appends counts of tickets and keys as a JSON object
+ */
 void jl_once_dump (struct jl_core *core, GString *out);
 
 #endif
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -146,7 +146,7 @@
   record->changed_us = core->now_us;
   cds_list_del (&record->order);
   cds_list_add_tail (&record->order, &poison->order);
-  if (poison->expiry.index == 0)
+  if (poison->expiry.heap_position == 0)
     jl_timer_start (core->timers, &poison->expiry,
                     core->now_us + STRIKE_KEEP_US, expire, core);
 }
@@ -305,7 +305,7 @@
     return;
   record = find_record (core, digest);
   record->untold = true;
-  if (core->poison->tell.index == 0)
+  if (core->poison->tell.heap_position == 0)
     jl_timer_start (core->timers, &core->poison->tell,
                     core->now_us + TELL_DELAY_US, tell, core);
 }
--- a/source/core/timer.c
+++ b/source/core/timer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The timer service of the reducer, a binary heap of subscriptions.
+ * DOC: Timers of the reducer, kept in a binary min-heap.
  */
 
 #include "jackdawladder/timer.h"
@@ -7,7 +7,7 @@
 struct jl_timers
 {
   GPtrArray *heap;
-  uint64_t next_order;
+  uint64_t next_sequence;
 };
 
 struct jl_timers *
@@ -36,7 +36,7 @@
 heap_set (struct jl_timers *timers, size_t index, struct jl_timer *timer)
 {
   g_ptr_array_index (timers->heap, index) = timer;
-  timer->index = index + 1;
+  timer->heap_position = index + 1;
 }
 
 static bool
@@ -44,13 +44,13 @@
 {
   if (a->due_us != b->due_us)
     return a->due_us < b->due_us;
-  return a->order < b->order;
+  return a->sequence < b->sequence;
 }
 
 static void
 sift_up (struct jl_timers *timers, struct jl_timer *timer)
 {
-  size_t index = timer->index - 1;
+  size_t index = timer->heap_position - 1;
 
   while (index > 0)
     {
@@ -67,7 +67,7 @@
 static void
 sift_down (struct jl_timers *timers, struct jl_timer *timer)
 {
-  size_t index = timer->index - 1;
+  size_t index = timer->heap_position - 1;
   size_t count = timers->heap->len;
 
   for (;;)
@@ -97,25 +97,25 @@
 {
   jl_timer_stop (timers, timer);
   timer->due_us = due_us;
-  timer->order = timers->next_order++;
+  timer->sequence = timers->next_sequence++;
   timer->fire = fire;
   timer->context = context;
   g_ptr_array_add (timers->heap, timer);
-  timer->index = timers->heap->len;
+  timer->heap_position = timers->heap->len;
   sift_up (timers, timer);
 }
 
 void
 jl_timer_stop (struct jl_timers *timers, struct jl_timer *timer)
 {
-  size_t index = timer->index;
+  size_t index = timer->heap_position;
   struct jl_timer *last;
 
   if (index == 0)
     return;
   last = heap_get (timers, timers->heap->len - 1);
   g_ptr_array_set_size (timers->heap, (int)timers->heap->len - 1);
-  timer->index = 0;
+  timer->heap_position = 0;
   if (last == timer)
     return;
   heap_set (timers, index - 1, last);
--- a/source/daemon/call.c
+++ b/source/daemon/call.c
@@ -268,7 +268,8 @@
              const struct jl_effect_answer *answer)
 {
   jl_http_add_header (message, "Jl-Outcome", jl_outcome_name (answer->outcome));
-  jl_http_add_header (message, "Jl-Sending", jl_outcome_name (answer->sending));
+  jl_http_add_header (message, "Jl-Sending",
+                      jl_outcome_name (answer->attempt_outcome));
   jl_http_add_header (message, "Jl-Reason", jl_reason_name (answer->reason));
   if (answer->retry_after_ms > 0)
     {
@@ -307,14 +308,14 @@
   struct jl_http_exchange *exchange = call->exchange;
   struct jl_answer_store *store = call->daemon->answers;
 
-  if (answer->stored)
+  if (answer->replay_stored)
     return jl_answer_store_get (store, answer->ticket, &exchange->status,
                                 &exchange->answer);
   exchange->status = call->status;
   jl_http_copy_headers (&exchange->answer, &call->answer);
   g_string_append_len (exchange->answer.body, call->answer.body->str,
                        (gssize)call->answer.body->len);
-  if (answer->keep)
+  if (answer->store)
     jl_answer_store_put (store, answer->ticket, exchange->status,
                          &exchange->answer);
   return true;
--- a/tests/random/caller.c
+++ b/tests/random/caller.c
@@ -84,12 +84,12 @@
 {
   struct sending *sending = argument;
   struct caller *caller = sending->caller;
-  struct jl_event event = { .type = JL_EVENT_CALL_GONE };
+  struct jl_event event = { .type = JL_EVENT_CALLER_DISCONNECTED };
 
   if (!sending->open)
     return;
   sending->open = false;
-  event.call_gone = caller->call;
+  event.disconnected_call = caller->call;
   if (caller->call != 0)
     post_event (caller->entry, caller->entry_life, between (world, 300, 3000),
                 &event);
@@ -143,7 +143,7 @@
   if (!sending->open)
     return;
   sending->open = false;
-  observe_told (sending, answer->outcome, answer->sending);
+  observe_told (sending, answer->outcome, answer->attempt_outcome);
   if (answer->next_ticket.number != 0)
     g_array_append_val (world->tickets, answer->next_ticket);
   if (answer->outcome == JL_OUTCOME_DONE || answer->retry_after_ms == 0)
--- a/tests/random/http.c
+++ b/tests/random/http.c
@@ -31,12 +31,12 @@
 static void
 close_exchange (struct exchange *exchange)
 {
-  struct jl_event gone = { .type = JL_EVENT_CALL_GONE };
+  struct jl_event gone = { .type = JL_EVENT_CALLER_DISCONNECTED };
 
   if (!exchange->open)
     return;
   exchange->open = false;
-  gone.call_gone = exchange->remote;
+  gone.disconnected_call = exchange->remote;
   if (exchange->forward && exchange->remote != 0)
     post_event (exchange->to, exchange->to_life, travel (exchange->from->world),
                 &gone);
@@ -327,10 +327,10 @@
       return;
     }
   if (effect->outcome == JL_OUTCOME_DONE)
-    reply.body
-        = effect->stored ? g_hash_table_lookup (node->stored, key) : call->body;
+    reply.body = effect->replay_stored ? g_hash_table_lookup (node->stored, key)
+                                       : call->body;
   observe_answer (node, call, effect, reply.body);
-  if (effect->keep)
+  if (effect->store)
     g_hash_table_replace (node->stored, g_strdup (key), reply.body);
   g_free (key);
   reply.result.outcome = effect->outcome;
--- a/tests/random/observer.c
+++ b/tests/random/observer.c
@@ -126,7 +126,7 @@
     fail (world, "an answer without a body");
   else if (body->sending->request != call->sending->request)
     fail (world, "the answer of another request");
-  else if (!answer->stored && call->out != NULL && !call->out->forward
+  else if (!answer->replay_stored && call->out != NULL && !call->out->forward
            && !jl_attempt_id_equal (call->body_attempt,
                                     call->out->send.attempt))
     fail (world, "the answer of another sending");
--- a/tests/random/target.c
+++ b/tests/random/target.c
@@ -97,7 +97,7 @@
   if (run->over)
     return;
   sending->open = false;
-  observe_told (sending, answer->outcome, answer->sending);
+  observe_told (sending, answer->outcome, answer->attempt_outcome);
   post_to (run->node, run->life, service_time (run) / 4, go_on, run);
 }
 
--- a/tests/scripted/commands.c
+++ b/tests/scripted/commands.c
@@ -256,8 +256,8 @@
 static void
 handle_gone (struct run *run, const struct script_command *command)
 {
-  struct jl_event event
-      = { .type = JL_EVENT_CALL_GONE, .call_gone = first_number (command) };
+  struct jl_event event = { .type = JL_EVENT_CALLER_DISCONNECTED,
+                            .disconnected_call = first_number (command) };
 
   run_step (run, &event, true);
 }
--- a/tests/support/print.c
+++ b/tests/support/print.c
@@ -279,8 +279,8 @@
     case JL_EVENT_CALL_RESULT:
       print_call_result (out, config, &event->call_result);
       break;
-    case JL_EVENT_CALL_GONE:
-      g_string_append_printf (out, "gone %" PRIu64, event->call_gone);
+    case JL_EVENT_CALLER_DISCONNECTED:
+      g_string_append_printf (out, "gone %" PRIu64, event->disconnected_call);
       break;
     case JL_EVENT_CLAIM_RESULT:
       print_claim_result (out, &event->claim_result);
@@ -345,14 +345,14 @@
 {
   g_string_append_printf (out, "answer %" PRIu64 " %s", answer->call,
                           jl_outcome_name (answer->outcome));
-  if (answer->sending != answer->outcome)
+  if (answer->attempt_outcome != answer->outcome)
     g_string_append_printf (out, " sending=%s",
-                            jl_outcome_name (answer->sending));
+                            jl_outcome_name (answer->attempt_outcome));
   if (answer->reason != JL_REASON_NONE)
     g_string_append_printf (out, " reason=%s", jl_reason_name (answer->reason));
   print_optional (out, "retry-after", answer->retry_after_ms);
-  print_optional (out, "stored", answer->stored);
-  print_optional (out, "keep", answer->keep);
+  print_optional (out, "stored", answer->replay_stored);
+  print_optional (out, "keep", answer->store);
   print_ticket (out, "ticket", answer->ticket);
   print_ticket (out, "next", answer->next_ticket);
   print_number (out, "tokens", answer->tokens);
--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -40,7 +40,7 @@
   rig->now_us += 4 * JL_USEC_PER_SEC;
   rig_call_child (rig, parent, PUT, 1);
   cr_assert_null (rig_find (rig, JL_EFFECT_FORWARD));
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
 
@@ -105,7 +105,7 @@
   rig_call_ticket (rig, ticket);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_tick_after (rig, 1100);
   rig_announce (rig);
   rig_call_ticket (rig, ticket);
@@ -135,7 +135,7 @@
   rig_call_event (rig, &event);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   event.call.attempt.number = 6;
   rig_call_event (rig, &event);
   cr_assert_not_null (rig_find (rig, JL_EFFECT_SEND));
@@ -215,6 +215,6 @@
   event.call.attempt.number = 5;
   rig_call_event (rig, &event);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
--- a/tests/unit/once.c
+++ b/tests/unit/once.c
@@ -19,7 +19,7 @@
   rig_call_ticket (rig, ticket);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_IN_PROGRESS);
   cr_assert_gt (rig_answer (rig)->retry_after_ms, 0);
   rig_drop (rig);
@@ -32,12 +32,12 @@
 
   rig_call_ticket (rig, ticket);
   rig_end_send (rig, rig_done);
-  cr_assert (rig_answer (rig)->keep);
+  cr_assert (rig_answer (rig)->store);
   cr_assert (jl_ticket_equal (rig_answer (rig)->ticket, ticket));
   rig_call_ticket (rig, ticket);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_DONE);
-  cr_assert (rig_answer (rig)->stored);
+  cr_assert (rig_answer (rig)->replay_stored);
   rig_drop (rig);
 }
 
@@ -86,7 +86,7 @@
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_null (rig_find (rig, JL_EFFECT_FORWARD));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_HOME_LOST);
 }
 
@@ -194,7 +194,7 @@
   cr_assert_not_null (rig_find (rig, JL_EFFECT_SEND));
   rig_end_send (rig, rig_done);
   call_key (rig, 1, none);
-  cr_assert (rig_answer (rig)->stored);
+  cr_assert (rig_answer (rig)->replay_stored);
   cr_assert_eq (dumped (rig, "keys"), 1);
   rig_tick_after (rig, 3600000);
   rig_announce (rig);
@@ -222,7 +222,7 @@
   call_key (rig, 1, before);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
 
@@ -237,7 +237,7 @@
   rig_step (rig, &result);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_PLATFORM);
   rig_drop (rig);
 }
@@ -256,7 +256,7 @@
   rig_call_event (rig, &event);
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_KEY_REUSED);
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
 
@@ -269,7 +269,7 @@
   rig_call_event (rig, &event);
   rig_end_send (rig, rig_refused);
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
 
@@ -349,6 +349,6 @@
   rig_call_child (rig, 12345, PUT, 0);
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_CANCELLED);
   cr_assert_eq (rig_answer (rig)->outcome, JL_OUTCOME_UNKNOWN);
-  cr_assert_eq (rig_answer (rig)->sending, JL_OUTCOME_NOT_RUN);
+  cr_assert_eq (rig_answer (rig)->attempt_outcome, JL_OUTCOME_NOT_RUN);
   rig_drop (rig);
 }
