--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -1,5 +1,6 @@
 /**
- * DOC: At most once across daemons: forwards, their cancellation, and lives.
+ * DOC: Unit tests of at-most-once execution across daemons: forwarding,
+ * cancellation and restarts.
  */
 
 #include <criterion/criterion.h>
@@ -9,6 +10,7 @@
 
 #include "unit/parts/rig.h"
 
+/* Makes the other daemon known to the reducer. */
 static void
 join_other (struct rig *rig)
 {
@@ -44,8 +46,9 @@
   rig_drop (rig);
 }
 
+/* Returns the first control message of @type of the last step, or NULL. */
 static const struct jl_message *
-message_of (const struct rig *rig, enum jl_message_type type)
+find_message (const struct rig *rig, enum jl_message_type type)
 {
   for (size_t i = 0; i < jl_effects_count (rig->effects); i++)
     {
@@ -58,7 +61,7 @@
   return NULL;
 }
 
-/* The earlier life may have run the sending. */
+/* The daemon may have run the attempt before it restarted. */
 Test (forward, cancellation_meant_for_an_earlier_life_is_not_confirmed)
 {
   struct rig *rig = rig_new ();
@@ -72,11 +75,11 @@
   message.attempt.origin = message.from;
   message.attempt.number = 77;
   rig_step (rig, &event);
-  cr_assert_null (message_of (rig, JL_MESSAGE_CANCELLED));
-  cr_assert_not_null (message_of (rig, JL_MESSAGE_CANCEL_LATE));
+  cr_assert_null (find_message (rig, JL_MESSAGE_CANCELLED));
+  cr_assert_not_null (find_message (rig, JL_MESSAGE_CANCEL_LATE));
   message.to.epoch = EPOCH;
   rig_step (rig, &event);
-  cr_assert_not_null (message_of (rig, JL_MESSAGE_CANCELLED));
+  cr_assert_not_null (find_message (rig, JL_MESSAGE_CANCELLED));
   rig_drop (rig);
 }
 
@@ -88,12 +91,15 @@
 
   rig_call_ticket (rig, rig_mint (rig));
   rig_end_send (rig, broken);
-  cr_assert_not_null (message_of (rig, JL_MESSAGE_CANCEL));
-  cr_assert_eq (message_of (rig, JL_MESSAGE_CANCEL)->to.epoch, EPOCH);
+  cr_assert_not_null (find_message (rig, JL_MESSAGE_CANCEL));
+  cr_assert_eq (find_message (rig, JL_MESSAGE_CANCEL)->to.epoch, EPOCH);
   rig_drop (rig);
 }
 
-/* What lay in the socket meanwhile may have been given up by its caller. */
+/*
+ * A request that waited in the socket during a pause of the process may have
+ * been abandoned by its caller.
+ */
 Test (forward, nothing_with_a_key_is_granted_right_after_a_pause)
 {
   struct rig *rig = rig_new ();
@@ -142,7 +148,7 @@
   rig_drop (rig);
 }
 
-/* Whether a cancellation of @attempt goes out within the time given. */
+/* Whether a cancellation of @attempt is sent within @ms. */
 static bool
 cancels_within (struct rig *rig, struct jl_attempt_id attempt, uint64_t ms)
 {
@@ -151,7 +157,7 @@
   for (uint64_t i = 0; i < ms; i += 10)
     {
       rig_tick_after (rig, 10);
-      message = message_of (rig, JL_MESSAGE_CANCEL);
+      message = find_message (rig, JL_MESSAGE_CANCEL);
       if (message != NULL && jl_attempt_id_equal (message->attempt, attempt))
         return true;
     }
@@ -172,7 +178,7 @@
       = rig_find (rig, JL_EFFECT_FORWARD)->forward.attempt;
   event.call_result.result = JL_SEND_BROKEN;
   rig_step (rig, &event);
-  cr_assert_eq (message_of (rig, JL_MESSAGE_CANCEL)->to.epoch, OTHER_EPOCH);
+  cr_assert_eq (find_message (rig, JL_MESSAGE_CANCEL)->to.epoch, OTHER_EPOCH);
   cr_assert (cancels_within (rig, event.call_result.attempt, 100));
   cr_assert (cancels_within (rig, event.call_result.attempt, 200));
   message.from.member = OTHER;
@@ -185,7 +191,10 @@
   rig_drop (rig);
 }
 
-/* The guard would have forgotten it, and confirm that it has not started. */
+/*
+ * After this long the guard has no record of the attempt any more and would
+ * wrongly confirm that it has not started.
+ */
 Test (forward, long_sending_that_breaks_is_unknown)
 {
   struct rig *rig = rig_new ();
--- a/tests/unit/once.c
+++ b/tests/unit/once.c
@@ -1,5 +1,6 @@
 /**
- * DOC: At most once: tickets, keys, cancellations and what callers are told.
+ * DOC: Unit tests of at-most-once execution: tickets, callers' keys and
+ * answers.
  */
 
 #include <criterion/criterion.h>
@@ -109,8 +110,9 @@
   rig_drop (rig);
 }
 
+/* Returns a count from the ticket section of the dump. */
 static uint32_t
-dumped (struct rig *rig, const char *name)
+dumped_count (struct rig *rig, const char *name)
 {
   GString *text = g_string_new ("");
   char *pattern = g_strdup_printf ("\"%s\":", name);
@@ -126,7 +128,10 @@
   return number;
 }
 
-/* A burst at once, and nothing minted for an hour after it. */
+/*
+ * A burst of requests is followed by an hour in which no ticket is minted. The
+ * tickets must expire nevertheless, and must not be granted after that.
+ */
 Test (once, used_tickets_expire_and_are_not_run_then)
 {
   struct rig *rig = rig_new ();
@@ -138,16 +143,16 @@
       rig_call_ticket (rig, tickets[i]);
       rig_end_send (rig, rig_refused);
     }
-  cr_assert_eq (dumped (rig, "used"), 50);
+  cr_assert_eq (dumped_count (rig, "used"), 50);
   rig_tick_after (rig, 3600000);
   rig_announce (rig);
   for (uint32_t i = 0; i < G_N_ELEMENTS (tickets); i++)
     expect_refused_as_unknown (rig, tickets[i]);
-  cr_assert_eq (dumped (rig, "used"), 0);
+  cr_assert_eq (dumped_count (rig, "used"), 0);
   rig_drop (rig);
 }
 
-/* One that is still in progress does not keep the others. */
+/* A ticket with a run in progress must not keep later tickets from expiring. */
 Test (once, one_in_progress_does_not_hold_up_expiry)
 {
   struct rig *rig = rig_new ();
@@ -161,10 +166,14 @@
   rig_tick_after (rig, 700000);
   rig_announce (rig);
   rig_call_ticket (rig, rig_mint (rig));
-  cr_assert_eq (dumped (rig, "used"), 2);
+  cr_assert_eq (dumped_count (rig, "used"), 2);
   rig_drop (rig);
 }
 
+/*
+ * Sends a request under a caller's key. If the key is claimed, the platform
+ * reports @owner as its ticket, or the claimed ticket if @owner has no number.
+ */
 static void
 call_key (struct rig *rig, uint64_t key_hash, struct jl_ticket owner)
 {
@@ -195,11 +204,11 @@
   rig_end_send (rig, rig_done);
   call_key (rig, 1, none);
   cr_assert (rig_answer (rig)->replay_stored);
-  cr_assert_eq (dumped (rig, "keys"), 1);
+  cr_assert_eq (dumped_count (rig, "keys"), 1);
   rig_tick_after (rig, 3600000);
   rig_announce (rig);
   call_key (rig, 2, none);
-  cr_assert_eq (dumped (rig, "keys"), 1);
+  cr_assert_eq (dumped_count (rig, "keys"), 1);
   rig_drop (rig);
 }
 
@@ -210,7 +219,7 @@
 
   for (uint64_t key = 1; key <= 70000; key++)
     call_key (rig, key, lost);
-  cr_assert_leq (dumped (rig, "keys"), 65536);
+  cr_assert_leq (dumped_count (rig, "keys"), 65536);
   rig_drop (rig);
 }
 
@@ -300,13 +309,13 @@
   cr_assert_not_null (rig_find (rig, JL_EFFECT_SEND));
   rig_configure (rig, 2);
   second = rig_begin_run (rig, anchor);
-  rig_call_child (rig, second, GET, 0); /* index 1 is put in version 2 */
+  rig_call_child (rig, second, GET, 0); /* index 1 is "put" in version 2 */
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_IN_PROGRESS);
   rig_drop (rig);
 }
 
-/* The same kind at the same place below two calls is two requests. */
+/* Equal kinds and ordinals under different parents are different requests. */
 Test (once, paths_down_the_tree_have_different_tickets)
 {
   struct rig *rig = rig_new ();
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -1,11 +1,12 @@
 /**
- * DOC: One reducer alone with its target.
+ * DOC: Fixture for unit tests: one reducer with its local target.
  */
 
 #include "unit/parts/rig.h"
 
 #include <criterion/criterion.h>
 
+/* Configurations of odd and of even versions, which differ in kind order. */
 static const char *const documents[] = {
   "{\"classes\":[\"all\"],\"zones\":[{\"name\":\"z\",\"region\":\"r\"}],"
   "\"services\":[{\"name\":\"s\",\"retry_percent\":100,\"cold_start_ms\":0}],"
@@ -101,7 +102,6 @@
   return NULL;
 }
 
-/* A ticket that was just minted. */
 struct jl_ticket
 rig_mint (struct rig *rig)
 {
@@ -127,7 +127,6 @@
   return rig->number;
 }
 
-/* Sends a request that is not idempotent under a ticket. */
 uint64_t
 rig_call_ticket (struct rig *rig, struct jl_ticket ticket)
 {
@@ -139,7 +138,6 @@
   return rig_call_event (rig, &event);
 }
 
-/* Ends the sending that the last step asked for. */
 void
 rig_end_send (struct rig *rig, struct jl_event_call_result result)
 {
@@ -162,7 +160,6 @@
   return &effect->answer;
 }
 
-/* A run of an idempotent request whose tree is anchored at this daemon. */
 uint64_t
 rig_begin_run (struct rig *rig, struct jl_ticket anchor)
 {
--- a/tests/unit/timer.c
+++ b/tests/unit/timer.c
@@ -1,11 +1,12 @@
 /**
- * DOC: The timer service: order, stop and restart.
+ * DOC: Unit test of timers: order of firing, stop and restart.
  */
 
 #include <criterion/criterion.h>
 
 #include "jackdawladder/timer.h"
 
+/* A timer that appends its name to a log when it fires. */
 struct log_timer
 {
   struct jl_timer timer;
@@ -14,7 +15,7 @@
 };
 
 static void
-note (void *context, struct jl_timer *timer)
+append_name (void *context, struct jl_timer *timer)
 {
   struct log_timer *log_timer = (struct log_timer *)timer;
 
@@ -33,12 +34,12 @@
   uint64_t due[5] = { 30, 10, 20, 10, 40 };
 
   for (int i = 0; i < 5; i++)
-    jl_timer_start (timers, &items[i].timer, due[i], note, log);
+    jl_timer_start (timers, &items[i].timer, due[i], append_name, log);
   jl_timer_stop (timers, &items[2].timer);
   cr_assert_eq (jl_timers_next (timers), 10);
   jl_timers_run (timers, 30);
   cr_assert_str_eq (log->str, "bda");
-  jl_timer_start (timers, &items[4].timer, 31, note, log);
+  jl_timer_start (timers, &items[4].timer, 31, append_name, log);
   jl_timers_run (timers, 31);
   cr_assert_str_eq (log->str, "bdae");
   cr_assert_eq (jl_timers_next (timers), UINT64_MAX);
