--- a/include/jackdawladder/core.h
+++ b/include/jackdawladder/core.h
@@ -6,8 +6,8 @@
  *
  * The reducer takes events and returns effects. It reads no clock, socket,
  * environment variable or external random source, so that the same options
- * and events give the same effects, byte for byte. It has no lock: the caller
- * must not run two steps of one reducer at the same time.
+ * and events give the same effects, byte for byte. It has no lock of its
+ * own: the steps of one reducer must not run concurrently.
  */
 
 #include "jackdawladder/effect.h"
@@ -38,7 +38,8 @@
  * @JL_MECHANISM_TOMBSTONE: cancelled attempts that arrive late are refused
  * @JL_MECHANISM_ONCE: at most one run per ticket
  * @JL_MECHANISM_PROBES: liveness probes between daemons
- * @JL_MECHANISM_DRAIN: draining before exit
+ * @JL_MECHANISM_DRAIN: a draining daemon completes requests in progress before
+ *                      it exits
  * @JL_MECHANISM_CONFIG_ORDER: older configurations are ignored
  *
  * A test disables a mechanism to prove that the check which covers it fails
