--- a/source/core/admit.h
+++ b/source/core/admit.h
@@ -14,14 +14,14 @@
 void jl_admit_drop (struct jl_admit *admit);
 
 /**
- * jl_admit_slots - the own target has announced @slots, 0 when it is gone
+ * jl_admit_set_slots - the own target has announced @slots, 0 when it is gone
  */
-void jl_admit_slots (struct jl_core *core, uint32_t slots);
+void jl_admit_set_slots (struct jl_core *core, uint32_t slots);
 
 /**
- * jl_admit_arrive - lets @work run, queues it, or refuses it
+ * jl_admit_submit - lets @work run, queues it, or refuses it
  */
-void jl_admit_arrive (struct jl_core *core, struct jl_work *work);
+void jl_admit_submit (struct jl_core *core, struct jl_work *work);
 
 /**
  * jl_admit_done - a running item has ended
@@ -46,22 +46,22 @@
 uint32_t jl_admit_level (struct jl_core *core);
 
 /**
- * jl_admit_load - requests in progress and waiting for 1000 slots
+ * jl_admit_load_permille - requests in progress and waiting for 1000 slots
  */
-uint32_t jl_admit_load (struct jl_core *core);
+uint32_t jl_admit_load_permille (struct jl_core *core);
 
 /**
- * jl_admit_retry_after - when a refused caller is to come back, with jitter
+ * jl_admit_retry_after_ms - when a refused caller is to come back, with jitter
  */
-uint32_t jl_admit_retry_after (struct jl_core *core);
+uint32_t jl_admit_retry_after_ms (struct jl_core *core);
 
 uint32_t jl_admit_running (struct jl_core *core);
 uint32_t jl_admit_waiting (struct jl_core *core);
 
 /**
- * jl_admit_struck_running - running items whose content has a strike
+ * jl_admit_suspects_running - running items whose content has a strike
  */
-uint32_t jl_admit_struck_running (struct jl_core *core);
+uint32_t jl_admit_suspects_running (struct jl_core *core);
 
 void jl_admit_dump (struct jl_core *core, GString *out);
 
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -39,7 +39,7 @@
   uint64_t started;
   uint64_t announced_us;
   bool up;
-  struct jl_timer lapse;
+  struct jl_timer lease_timer;
 };
 
 /**
@@ -63,11 +63,11 @@
  * @config: the configuration that @kind is an index of
  * @parent: the work that makes it, NULL for a caller's
  * @siblings: place in @parent's list of children
- * @guarded: its runs are granted under @ticket, at most one of them
- * @keyed: its caller named it, and may have sent it before
+ * @at_most_once: its runs are granted under @ticket, at most one of them
+ * @has_key: its caller named it, and may have sent it before
  * @may_have_run: some sending may have run
  * @tokens: retry tokens of a call without @parent; else the parent's are used
- * @tokens_begun: what @tokens began with
+ * @tokens_initial: what @tokens began with
  * @tokens_lent: what is out of @tokens with the sending in progress
  * @lent: tokens that went out with the sending in progress
  * @attempt: the sending in progress
@@ -84,8 +84,8 @@
   uint32_t kind;
   struct jl_work *parent;
   struct cds_list_head siblings;
-  bool guarded;
-  bool keyed;
+  bool at_most_once;
+  bool has_key;
   bool forwarded;
   bool may_have_run;
   struct jl_ticket ticket;
@@ -97,7 +97,7 @@
   uint64_t invested_us;
   uint64_t deadline_us;
   uint32_t tokens;
-  uint32_t tokens_begun;
+  uint32_t tokens_initial;
   uint32_t tokens_lent;
   uint32_t lent;
   uint32_t sends;
@@ -127,11 +127,11 @@
  * @queue: place in the admission queue while it waits
  * @children: calls that the target makes meanwhile, by jl_call.siblings
  * @tokens: retry tokens that its children draw on
- * @tokens_begun: what @tokens began with
+ * @tokens_initial: what @tokens began with
  * @tokens_lent: what is out of @tokens with sendings of its children
  * @cancelled: its result is wanted by nobody
- * @held: it waits for another request that has a strike to end
- * @struck: its content had a strike when it began to run
+ * @deferred: it waits for another request that has a strike to end
+ * @suspect: its content had a strike when it began to run
  * @report: what its children's answers said of the services below
  */
 struct jl_work
@@ -150,11 +150,11 @@
   uint64_t target_started;
   struct jl_ticket anchor;
   uint32_t tokens;
-  uint32_t tokens_begun;
+  uint32_t tokens_initial;
   uint32_t tokens_lent;
   bool cancelled;
-  bool held;
-  bool struck;
+  bool deferred;
+  bool suspect;
   struct cds_list_head queue;
   struct cds_list_head children;
   struct jl_report report;
@@ -194,10 +194,10 @@
   struct jl_target target;
   bool draining;
   bool left;
-  struct jl_timer drain_linger;
-  uint64_t drain_refuse_us; /* from then on callers are refused */
+  struct jl_timer drain_notice_timer;
+  uint64_t drain_refuse_from_us; /* from then on callers are refused */
   uint64_t next_attempt;
-  uint32_t caller_calls;  /* calls of callers in progress */
+  uint32_t root_calls;    /* calls of callers in progress */
   GHashTable *calls;      /* number to struct jl_call */
   GHashTable *works;      /* number to struct jl_work */
   GHashTable *cancelling; /* attempt number to struct jl_call */
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -147,7 +147,7 @@
 {
   core->counts.messages_received++;
   jl_members_message (core, message);
-  jl_poison_message (core, message);
+  jl_poison_read_message (core, message);
   switch (message->type)
     {
     case JL_MESSAGE_CANCEL:
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -57,7 +57,7 @@
   jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
 }
 
-/* Asks the guard whether a guarded sending that broke has started. */
+/* Asks the guard whether an at-most-once sending that broke has started. */
 static void
 begin_cancel (struct jl_core *core, struct jl_call *call)
 {
@@ -94,7 +94,7 @@
 {
   struct jl_effect_answer *answer;
 
-  jl_poison_done (core, call->digest);
+  jl_poison_request_answered (core, call->digest);
   answer = jl_entry_end (core, call, JL_OUTCOME_DONE, JL_REASON_NONE);
   answer->report = event->report;
 }
@@ -115,7 +115,7 @@
   uint64_t due_us = core->now_us + STRIKE_WAIT_US;
 
   jl_poison_strike (core, call->digest, call->member);
-  if (call->guarded || jl_poison_refuses (core, call->digest))
+  if (call->at_most_once || jl_poison_refuses (core, call->digest))
     {
       jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_POISON);
       return;
@@ -143,7 +143,7 @@
       call->may_have_run = true;
       if (event->reason == JL_REASON_POISON)
         handle_struck (core, call);
-      else if (!call->guarded && event->reason == JL_REASON_TARGET_LOST)
+      else if (!call->at_most_once && event->reason == JL_REASON_TARGET_LOST)
         try_again (core, call, event->reason, event->no_retry);
       else
         jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, event->reason);
@@ -156,14 +156,14 @@
 handle_broken (struct jl_core *core, struct jl_call *call)
 {
   jl_members_eject (core, call->member);
-  if (call->guarded && core->now_us < call->sent_us + CANCEL_TRUST_US)
+  if (call->at_most_once && core->now_us < call->sent_us + CANCEL_TRUST_US)
     {
       begin_cancel (core, call);
       return;
     }
   call->may_have_run = true;
   jl_entry_send_cancel (core, call);
-  if (call->guarded)
+  if (call->at_most_once)
     jl_entry_end (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_TARGET_LOST);
   else
     try_again (core, call, JL_REASON_TARGET_LOST, false);
--- a/source/core/entry-send.c
+++ b/source/core/entry-send.c
@@ -73,7 +73,7 @@
 
   begin_attempt (core, call);
   if (call->sends++ == 0)
-    jl_retry_first (core, jl_call_kind (call)->service);
+    jl_retry_earn_budget (core, jl_call_kind (call)->service);
   else
     core->counts.retries++;
   call->state = JL_CALL_SENT;
@@ -121,7 +121,7 @@
 static void
 end_unplaced (struct jl_core *core,
               struct jl_call *call,
-              enum jl_place_verdict verdict)
+              enum jl_place_status verdict)
 {
   enum jl_reason reason = call->last_reason;
 
@@ -129,7 +129,7 @@
     {
       jl_entry_report_service (core, call);
       call->last_retry_after_ms
-          = jl_place_retry_after (core, jl_place_service (core, call));
+          = jl_place_retry_after_ms (core, jl_place_service (core, call));
     }
   if (reason == JL_REASON_NONE)
     reason = verdict == JL_PLACE_REFUSED ? JL_REASON_OVERLOAD
@@ -141,7 +141,7 @@
 jl_entry_proceed (struct jl_core *core, struct jl_call *call)
 {
   struct jl_member *member = NULL;
-  enum jl_place_verdict verdict;
+  enum jl_place_status verdict;
   uint32_t service;
 
   if (core->now_us >= call->deadline_us)
--- a/source/core/entry-stop.c
+++ b/source/core/entry-stop.c
@@ -50,7 +50,7 @@
       struct jl_call *call = item->data;
 
       if (call->state == JL_CALL_SENT && call->member == member
-          && !call->guarded && core->options.mode == JL_CORE_FULL)
+          && !call->at_most_once && core->options.mode == JL_CORE_FULL)
         leave_member (core, call);
     }
   g_list_free (calls);
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -75,7 +75,7 @@
   if (call->parent != NULL)
     cds_list_del (&call->siblings);
   else
-    core->caller_calls--;
+    core->root_calls--;
   if (call->state == JL_CALL_CANCELLING)
     g_hash_table_remove (core->cancelling, JL_HASH_KEY (call->attempt.number));
   g_hash_table_remove (core->calls, JL_HASH_KEY (call->number));
@@ -114,8 +114,8 @@
               enum jl_reason reason)
 {
   struct jl_effect_answer *answer;
-  bool guarded = call->guarded;
-  bool keyed = call->keyed;
+  bool at_most_once = call->at_most_once;
+  bool has_key = call->has_key;
   uint32_t retry_after_ms = call->last_retry_after_ms;
 
   if (outcome == JL_OUTCOME_NOT_RUN && call->may_have_run)
@@ -124,15 +124,15 @@
                 "not run is said only when no sending may have run");
   if (retry_after_ms == 0)
     retry_after_ms = RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
-  if (guarded)
+  if (at_most_once)
     retry_after_ms
         = jl_once_answered (core, call, outcome, reason, retry_after_ms);
   answer = jl_entry_answer (core, call, outcome, reason);
-  answer->keep = guarded && outcome == JL_OUTCOME_DONE;
+  answer->keep = at_most_once && outcome == JL_OUTCOME_DONE;
   if (outcome != JL_OUTCOME_DONE)
     answer->retry_after_ms = retry_after_ms;
   /* Nobody keeps account of other sendings of an idempotent request. */
-  if (!guarded && keyed && outcome == JL_OUTCOME_NOT_RUN)
+  if (!at_most_once && has_key && outcome == JL_OUTCOME_NOT_RUN)
     answer->outcome = JL_OUTCOME_UNKNOWN;
   return answer;
 }
@@ -188,7 +188,7 @@
   call->priority
       = kind->importance * JL_SAMPLE_COUNT + choose_sample (core, event);
   call->tokens = kind->retry_tokens;
-  call->tokens_begun = call->tokens;
+  call->tokens_initial = call->tokens;
   call->anchor
       = event->key_type == JL_KEY_TICKET ? event->ticket : jl_once_mint (core);
 }
@@ -205,22 +205,23 @@
   call->config = jl_config_keep (core->config);
   call->kind = event->kind;
   call->forwarded = event->forwarded;
-  call->keyed = event->key_type != JL_KEY_NONE;
+  call->has_key = event->key_type != JL_KEY_NONE;
   call->key_hash = event->key_hash;
   call->digest = event->digest;
   call->arrived_us = core->now_us;
   call->deadline_us = choose_deadline (core, event, kind, parent);
-  call->guarded = !kind->idempotent && core->options.mode != JL_CORE_FORWARD;
+  call->at_most_once
+      = !kind->idempotent && core->options.mode != JL_CORE_FORWARD;
   if (parent != NULL)
     inherit_from_parent (core, call, parent, event->ordinal);
   else
     begin_tree (core, call, event, kind);
-  core->caller_calls += parent == NULL;
+  core->root_calls += parent == NULL;
   if (event->forwarded)
     {
       call->priority = event->priority % JL_PRIORITY_COUNT;
       call->tokens = event->tokens;
-      call->tokens_begun = event->tokens;
+      call->tokens_initial = event->tokens;
       call->invested_us = event->invested_us;
     }
   g_hash_table_insert (core->calls, JL_HASH_KEY (call->number), call);
@@ -228,7 +229,7 @@
   return call;
 }
 
-/* Only the minter of its ticket may send a guarded call. */
+/* Only the minter of its ticket may send an at-most-once call. */
 static void
 proceed_guarded (struct jl_core *core, struct jl_call *call)
 {
@@ -303,7 +304,7 @@
                struct jl_call *call,
                const struct jl_event_call *event)
 {
-  if (call->keyed && core->now_us < core->stale_until_us)
+  if (call->has_key && core->now_us < core->stale_until_us)
     {
       answer_stale (core, call);
       return;
@@ -332,7 +333,7 @@
 
   if (max == 0 || core->options.mode != JL_CORE_FULL || event->forwarded)
     return false;
-  return core->caller_calls >= max - max * importance / (2 * count);
+  return core->root_calls >= max - max * importance / (2 * count);
 }
 
 /*
@@ -343,7 +344,7 @@
 check_caller (const struct jl_core *core, const struct jl_event_call *event)
 {
   if (core->draining && !event->forwarded
-      && core->now_us >= core->drain_refuse_us)
+      && core->now_us >= core->drain_refuse_from_us)
     return JL_REASON_DRAINING;
   if (is_full (core, event))
     return JL_REASON_OVERLOAD;
@@ -389,7 +390,7 @@
       return;
     }
   call = make_call (core, event, parent);
-  if (call->guarded)
+  if (call->at_most_once)
     begin_guarded (core, call, event);
   else
     jl_entry_proceed (core, call);
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -11,10 +11,10 @@
 /* Of those heard within one or two such spans the highest counts. */
 #define LEVEL_SPAN_US (50 * JL_USEC_PER_MSEC)
 /* After that it bars, but is tried out; it is forgotten after this long. */
-#define LEVEL_KEEP_US (3 * JL_USEC_PER_SEC)
+#define LEVEL_EXPIRY_US (3 * JL_USEC_PER_SEC)
 /* Time from one trial to the next, for each of this many daemons. */
-#define TRIAL_INTERVAL_US (50 * JL_USEC_PER_MSEC)
-#define TRIAL_DAEMONS 16
+#define PROBE_INTERVAL_US (50 * JL_USEC_PER_MSEC)
+#define PROBE_DAEMONS 16
 /* Of a kind's requests, this share has to reach a service that bars it. */
 #define REACH_PERCENT 90
 /* Answers from which the share is known, and at which it is halved. */
@@ -23,19 +23,19 @@
 
 /**
  * struct service_level - what answers said of a service's level
- * @span_us: when the span in progress began
+ * @span_started_us: when the span in progress began
  * @level: highest level in that span
- * @last_level: highest level in the span before, 0 for none
+ * @previous_level: highest level in the span before, 0 for none
  * @heard_us: time of the last answer; 0 for never
- * @trial_us: when a request may go through in spite of the level
+ * @next_probe_us: when a request may go through in spite of the level
  */
 struct service_level
 {
-  uint64_t span_us;
+  uint64_t span_started_us;
   uint32_t level;
-  uint32_t last_level;
+  uint32_t previous_level;
   uint64_t heard_us;
-  uint64_t trial_us;
+  uint64_t next_probe_us;
 };
 
 /**
@@ -75,23 +75,23 @@
 }
 
 static void
-hear_level (struct jl_core *core, uint32_t service, uint32_t level)
+record_level (struct jl_core *core, uint32_t service, uint32_t level)
 {
   struct service_level *known = &core->graph->services[service];
-  uint64_t age_us = core->now_us - known->span_us;
+  uint64_t age_us = core->now_us - known->span_started_us;
 
   if (known->heard_us == 0 || age_us >= LEVEL_SPAN_US)
     {
-      known->last_level = age_us < 2 * LEVEL_SPAN_US ? known->level : 0;
+      known->previous_level = age_us < 2 * LEVEL_SPAN_US ? known->level : 0;
       known->level = 0;
-      known->span_us = core->now_us;
+      known->span_started_us = core->now_us;
     }
   known->level = MAX (known->level, level);
   known->heard_us = core->now_us;
 }
 
 static void
-halve (struct reach *reach)
+halve_counts (struct reach *reach)
 {
   reach->answers /= 2;
   for (uint32_t i = 0; i < JL_SERVICE_MAX; i++)
@@ -114,12 +114,12 @@
 
       if (service >= JL_SERVICE_MAX)
         continue;
-      hear_level (core, service, report->items[i].level);
+      record_level (core, service, report->items[i].level);
       if (outcome == JL_OUTCOME_DONE)
         reach->reached[service]++;
     }
   if (reach->answers >= ANSWERS_MAX)
-    halve (reach);
+    halve_counts (reach);
 }
 
 static bool
@@ -134,21 +134,21 @@
 {
   const struct service_level *known = &core->graph->services[service];
 
-  if (known->heard_us == 0 || known->heard_us + LEVEL_KEEP_US < core->now_us)
+  if (known->heard_us == 0 || known->heard_us + LEVEL_EXPIRY_US < core->now_us)
     return JL_PRIORITY_COUNT;
-  return MAX (known->level, known->last_level);
+  return MAX (known->level, known->previous_level);
 }
 
 /* Whether a request goes through to learn of a level heard long ago. */
 static bool
-is_trial (struct jl_core *core, struct service_level *known)
+take_probe (struct jl_core *core, struct service_level *known)
 {
-  uint32_t shares = 1 + jl_members_count (core) / TRIAL_DAEMONS;
+  uint32_t interval_count = 1 + jl_members_count (core) / PROBE_DAEMONS;
 
   if (known->heard_us + LEVEL_FRESH_US >= core->now_us
-      || known->trial_us > core->now_us)
+      || known->next_probe_us > core->now_us)
     return false;
-  known->trial_us = core->now_us + shares * TRIAL_INTERVAL_US;
+  known->next_probe_us = core->now_us + interval_count * PROBE_INTERVAL_US;
   return true;
 }
 
@@ -167,7 +167,7 @@
     {
       if (i == own || !is_reached (reach, i)
           || priority < jl_graph_level (core, i)
-          || is_trial (core, &core->graph->services[i]))
+          || take_probe (core, &core->graph->services[i]))
         continue;
       *service = i;
       return true;
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -17,11 +17,11 @@
 /* An announcement holds this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
 /* A drained daemon refuses for this long, until its peers have heard of it. */
-#define DRAIN_LINGER_US (2 * JL_USEC_PER_SEC)
+#define DRAIN_NOTICE_US (2 * JL_USEC_PER_SEC)
 /* It goes on as an entry for this long, if calls never come to an end. */
-#define DRAIN_REFUSE_US (30 * JL_USEC_PER_SEC)
+#define DRAIN_ENTRY_MAX_US (30 * JL_USEC_PER_SEC)
 /* When to come back after a refusal that is no matter of load. */
-#define RETRY_AFTER_MS 500
+#define RETRY_AFTER_BASE_MS 500
 
 static const struct jl_kind *
 kind_of (const struct jl_work *work)
@@ -30,22 +30,22 @@
 }
 
 static void
-target_down (struct jl_core *core, enum jl_reason reason)
+mark_target_down (struct jl_core *core, enum jl_reason reason)
 {
   if (!core->target.up)
     return;
   core->target.up = false;
-  jl_timer_stop (core->timers, &core->target.lapse);
-  jl_admit_slots (core, 0);
+  jl_timer_stop (core->timers, &core->target.lease_timer);
+  jl_admit_set_slots (core, 0);
   jl_admit_refuse_all (core, JL_REASON_TARGET_LOST);
   jl_members_self_changed (core);
   jl_log_event (core, JL_LOG_TARGET_DOWN, reason, 0);
 }
 
 static void
-lease_lapsed (void *context, struct jl_timer *timer G_GNUC_UNUSED)
+handle_lease_expired (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
-  target_down (context, JL_REASON_TIMEOUT);
+  mark_target_down (context, JL_REASON_TIMEOUT);
 }
 
 static void
@@ -74,8 +74,8 @@
 
   if (core->draining)
     return;
-  jl_timer_start (core->timers, &target->lapse,
-                  core->now_us + ANNOUNCE_LEASE_US, lease_lapsed, core);
+  jl_timer_start (core->timers, &target->lease_timer,
+                  core->now_us + ANNOUNCE_LEASE_US, handle_lease_expired, core);
   target->announced_us = core->now_us;
   if (!changed)
     return;
@@ -85,7 +85,7 @@
   target->started = announce->started;
   target->up = true;
   find_service (core);
-  jl_admit_slots (core, announce->slots);
+  jl_admit_set_slots (core, announce->slots);
   jl_members_self_changed (core);
   jl_log_event (core, JL_LOG_TARGET_UP, announce->slots, announce->started);
 }
@@ -93,7 +93,7 @@
 void
 jl_guard_target_leave (struct jl_core *core)
 {
-  target_down (core, JL_REASON_DRAINING);
+  mark_target_down (core, JL_REASON_DRAINING);
 }
 
 /* Fills the report of an answer with the own state and that below. */
@@ -102,7 +102,7 @@
              struct jl_report *report,
              const struct jl_work *work)
 {
-  report->load_permille = jl_admit_load (core);
+  report->load_permille = jl_admit_load_permille (core);
   if (core->target.service != JL_NONE)
     jl_report_add (report, core->target.service, jl_admit_level (core));
   if (work != NULL)
@@ -124,7 +124,7 @@
   finish->tokens = event->tokens;
   finish->no_retry = outcome != JL_OUTCOME_NOT_RUN;
   finish->retry_after_ms
-      = RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
+      = RETRY_AFTER_BASE_MS + jl_random_below (core, RETRY_AFTER_BASE_MS);
   fill_report (core, &finish->report, NULL);
   core->counts.refused_reason[reason]++;
 }
@@ -167,7 +167,7 @@
   work->deadline_us = core->now_us + event->budget_us;
   work->anchor = event->anchor;
   work->tokens = event->tokens;
-  work->tokens_begun = event->tokens;
+  work->tokens_initial = event->tokens;
   CDS_INIT_LIST_HEAD (&work->queue);
   CDS_INIT_LIST_HEAD (&work->children);
   g_hash_table_insert (core->works, JL_HASH_KEY (work->number), work);
@@ -205,7 +205,7 @@
   jl_seen_set_work (core, event->attempt, event->work);
   work = make_work (core, event);
   core->counts.works[work->priority / JL_SAMPLE_COUNT]++;
-  jl_admit_arrive (core, work);
+  jl_admit_submit (core, work);
 }
 
 /* Answers the sender of a work item and frees the item. */
@@ -267,7 +267,7 @@
 
 /* The target's connection broke under a running item. */
 static void
-handle_broken (struct jl_core *core, struct jl_work *work)
+handle_broken_run (struct jl_core *core, struct jl_work *work)
 {
   enum jl_reason reason = JL_REASON_TARGET_LOST;
 
@@ -290,17 +290,17 @@
   switch (event->result)
     {
     case JL_RUN_ANSWERED:
-      jl_poison_done (core, work->digest);
+      jl_poison_request_answered (core, work->digest);
       finish_work (core, work, JL_OUTCOME_DONE, JL_REASON_NONE);
       return;
     case JL_RUN_NOT_SENT:
       jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
       if (work->target_started == core->target.started)
-        target_down (core, JL_REASON_TARGET_LOST);
+        mark_target_down (core, JL_REASON_TARGET_LOST);
       finish_work (core, work, JL_OUTCOME_NOT_RUN, JL_REASON_TARGET_LOST);
       return;
     case JL_RUN_BROKEN:
-      handle_broken (core, work);
+      handle_broken_run (core, work);
       return;
     case JL_RUN_TIMEOUT:
       finish_work (core, work, JL_OUTCOME_UNKNOWN, JL_REASON_TIMEOUT);
@@ -365,7 +365,8 @@
 
 /* Only wakes the reducer up; jl_guard_check_drained() does the rest. */
 static void
-linger_ended (void *context G_GNUC_UNUSED, struct jl_timer *timer G_GNUC_UNUSED)
+handle_drain_notice_end (void *context G_GNUC_UNUSED,
+                         struct jl_timer *timer G_GNUC_UNUSED)
 {
 }
 
@@ -375,9 +376,10 @@
   if (core->draining)
     return;
   core->draining = true;
-  core->drain_refuse_us = core->now_us + DRAIN_REFUSE_US;
-  jl_timer_start (core->timers, &core->drain_linger,
-                  core->now_us + DRAIN_LINGER_US, linger_ended, core);
+  core->drain_refuse_from_us = core->now_us + DRAIN_ENTRY_MAX_US;
+  jl_timer_start (core->timers, &core->drain_notice_timer,
+                  core->now_us + DRAIN_NOTICE_US, handle_drain_notice_end,
+                  core);
   jl_members_leave (core);
   jl_log_event (core, JL_LOG_DRAIN_BEGUN, 0, 0);
 }
@@ -385,7 +387,7 @@
 void
 jl_guard_check_drained (struct jl_core *core)
 {
-  if (!core->draining || core->left || core->drain_linger.index != 0)
+  if (!core->draining || core->left || core->drain_notice_timer.index != 0)
     return;
   if ((g_hash_table_size (core->works) > 0
        || g_hash_table_size (core->calls) > 0)
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -5,20 +5,20 @@
 #include "level.h"
 
 /* Arrivals for each window are kept in parts of an item. */
-#define ITEM_PARTS (1 << 16)
+#define FIXED_POINT_ONE (1 << 16)
 #define ITEM_MILLI 1000
 /* Weight of the newest window, below the level: 1 in 4. */
-#define ADMITTED_SHIFT 2
+#define ADMITTED_WEIGHT_SHIFT 2
 /* Above the level arrivals are kept longer, since they stay away: 1 in 64. */
-#define REFUSED_SHIFT 6
+#define REFUSED_WEIGHT_SHIFT 6
 /* Share of the capacity that is let in after an overloaded window. */
-#define OVERLOADED_PERCENT 98
+#define OVERLOADED_CAPACITY_PERCENT 98
 /* Overloaded windows in a row after which less is let in than before. */
 #define PERSISTENT_WINDOWS 3
-#define PERSISTENT_PERCENT 95
+#define PERSISTENT_DEMAND_PERCENT 95
 /* First step up, in priorities; each next one is twice as large. */
-#define FIRST_STEP 8
-#define LAST_STEP (JL_PRIORITY_COUNT / 2)
+#define STEP_MIN 8
+#define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
 /**
  * struct jl_level - the level and what it is set from
@@ -51,7 +51,7 @@
 
   level->value = JL_PRIORITY_COUNT;
   level->lowest_refused = JL_PRIORITY_COUNT;
-  level->step = FIRST_STEP;
+  level->step = STEP_MIN;
   return level;
 }
 
@@ -80,14 +80,14 @@
 }
 
 void
-jl_level_arrive (struct jl_level *level, uint32_t priority)
+jl_level_count_arrival (struct jl_level *level, uint32_t priority)
 {
   level->arrived[priority]++;
   level->arrivals++;
 }
 
 void
-jl_level_refused (struct jl_level *level, uint32_t priority)
+jl_level_count_refusal (struct jl_level *level, uint32_t priority)
 {
   level->refusals++;
   level->lowest_refused = MIN (level->lowest_refused, priority);
@@ -100,9 +100,10 @@
 {
   for (uint32_t i = 0; i < JL_PRIORITY_COUNT; i++)
     {
-      uint32_t shift = i < level->value ? ADMITTED_SHIFT : REFUSED_SHIFT;
+      uint32_t shift
+          = i < level->value ? ADMITTED_WEIGHT_SHIFT : REFUSED_WEIGHT_SHIFT;
       uint32_t old = level->demand[i];
-      uint32_t new = level->arrived[i] * ITEM_PARTS;
+      uint32_t new = level->arrived[i] * FIXED_POINT_ONE;
 
       old -= (old + (1U << shift) - 1) >> shift;
       level->demand[i] = old + (new >> shift);
@@ -112,22 +113,22 @@
 
 /* The highest level below which no more than @room parts arrive. */
 static uint32_t
-find_cursor (const struct jl_level *level, uint64_t room)
+highest_level_within (const struct jl_level *level, uint64_t room)
 {
   uint64_t sum = 0;
-  uint32_t cursor = 0;
+  uint32_t fitting = 0;
 
-  for (; cursor < JL_PRIORITY_COUNT; cursor++)
+  for (; fitting < JL_PRIORITY_COUNT; fitting++)
     {
-      sum += level->demand[cursor];
+      sum += level->demand[fitting];
       if (sum > room)
         break;
     }
-  return cursor;
+  return fitting;
 }
 
 static uint64_t
-sum_below (const struct jl_level *level, uint32_t end)
+demand_below (const struct jl_level *level, uint32_t end)
 {
   uint64_t sum = 0;
 
@@ -138,7 +139,7 @@
 
 /* The most important priority that arrives is never refused by the level. */
 static uint32_t
-lowest_level (const struct jl_level *level)
+min_level (const struct jl_level *level)
 {
   for (uint32_t i = 0; i < JL_PRIORITY_COUNT; i++)
     if (level->demand[i] > 0)
@@ -147,38 +148,38 @@
 }
 
 static uint64_t
-capacity_parts (const struct jl_level_window *window)
+capacity_fixed_point (const struct jl_level_window *window)
 {
-  return window->capacity_milli * ITEM_PARTS / ITEM_MILLI;
+  return window->capacity_milli * FIXED_POINT_ONE / ITEM_MILLI;
 }
 
 static void
-lower (struct jl_level *level, const struct jl_level_window *window)
+lower_level (struct jl_level *level, const struct jl_level_window *window)
 {
   uint64_t room = UINT64_MAX;
-  uint32_t cursor;
+  uint32_t fitting;
 
   if (window->capacity_milli > 0)
-    room = capacity_parts (window) * OVERLOADED_PERCENT / 100;
+    room = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
   if (++level->overloaded >= PERSISTENT_WINDOWS)
-    room = MIN (room,
-                sum_below (level, level->value) * PERSISTENT_PERCENT / 100);
-  cursor = find_cursor (level, room);
-  cursor = MAX (cursor, lowest_level (level));
-  level->value = MIN (level->value, cursor);
-  level->step = FIRST_STEP;
+    room = MIN (room, demand_below (level, level->value)
+                          * PERSISTENT_DEMAND_PERCENT / 100);
+  fitting = highest_level_within (level, room);
+  fitting = MAX (fitting, min_level (level));
+  level->value = MIN (level->value, fitting);
+  level->step = STEP_MIN;
 }
 
 static void
 raise_level (struct jl_level *level, const struct jl_level_window *window)
 {
   uint32_t highest = MIN (level->value + level->step, JL_PRIORITY_COUNT);
-  uint32_t cursor = highest;
+  uint32_t fitting = highest;
 
   if (window->capacity_milli > 0)
-    cursor = find_cursor (level, capacity_parts (window));
-  level->step = MIN (level->step * 2, LAST_STEP);
-  level->value = MAX (level->value, MIN (cursor, highest));
+    fitting = highest_level_within (level, capacity_fixed_point (window));
+  level->step = MIN (level->step * 2, STEP_MAX);
+  level->value = MAX (level->value, MIN (fitting, highest));
 }
 
 void
@@ -196,7 +197,7 @@
   if (!window->overloaded)
     level->overloaded = 0;
   if (window->overloaded)
-    lower (level, window);
+    lower_level (level, window);
   else if (level->value < JL_PRIORITY_COUNT && !window->waiting)
     raise_level (level, window);
 }
@@ -205,5 +206,5 @@
 jl_level_idle (const struct jl_level *level)
 {
   return level->value == JL_PRIORITY_COUNT && level->refused_permille == 0
-         && sum_below (level, JL_PRIORITY_COUNT) == 0;
+         && demand_below (level, JL_PRIORITY_COUNT) == 0;
 }
--- a/source/core/level.h
+++ b/source/core/level.h
@@ -25,16 +25,16 @@
 uint32_t jl_level_get (const struct jl_level *level);
 
 /**
- * jl_level_arrive - an item of @priority has arrived, refused or not
+ * jl_level_count_arrival - an item of @priority has arrived, refused or not
  */
-void jl_level_arrive (struct jl_level *level, uint32_t priority);
+void jl_level_count_arrival (struct jl_level *level, uint32_t priority);
 
 /**
- * jl_level_refused - an item of @priority was refused for overload
+ * jl_level_count_refusal - an item of @priority was refused for overload
  *
  * Nothing less important is let in before the window ends.
  */
-void jl_level_refused (struct jl_level *level, uint32_t priority);
+void jl_level_count_refusal (struct jl_level *level, uint32_t priority);
 
 /**
  * jl_level_lowest_refused - most important priority refused in this window,
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -5,78 +5,80 @@
 #include "limit.h"
 
 /* A new target starts with one part in this many of its slots. */
-#define COLD_SHARE 8
+#define COLD_START_DIVISOR 8
 /* The limit never goes below one part in this many of the slots. */
-#define FLOOR_SHARE 4
+#define MIN_LIMIT_DIVISOR 4
 /* Up to this share of its slots a target counts as unloaded. */
-#define UNLOADED_SHARE 4
+#define UNLOADED_DIVISOR 4
 /* Weight of the newest latency in the means: 1 in 32. */
-#define MEAN_SHIFT 5
+#define MEAN_WEIGHT_SHIFT 5
 /* Latency above the unloaded one from which a lower limit is tried. */
-#define SLOW_PERCENT 300
+#define SLOW_LATENCY_PERCENT 300
 /* Answers of the unloaded target from which its latency is known. */
-#define BASELINE_COUNT 64
+#define BASELINE_SAMPLES_MIN 64
 /* Requests over which the rate at one limit is measured. */
-#define TRIAL_COUNT 200
+#define TRIAL_REQUESTS_MIN 200
 /* Use of the limit from which the rate says something of it. */
-#define USED_PERCENT 85
-/* Size of a step. */
+#define TRIAL_UTILIZATION_PERCENT 85
+/* Size of a step_limit. */
 #define STEP_PERCENT 20
-/* A step down may cost this much of the rate, a step up has to gain it. */
-#define TOLERANCE_PERCENT 8
+/* A step_limit down may cost this much of the rate, a step_limit up has to gain
+ * it. */
+#define RATE_TOLERANCE_PERCENT 8
 /* Windows to wait after a lower limit did not help, at first and at most. */
-#define REST_WINDOWS 200
-#define REST_WINDOWS_MAX 6400
-/* Windows without overload after which the limit goes up by a step. */
+#define TRIAL_PAUSE_WINDOWS 200
+#define TRIAL_PAUSE_WINDOWS_MAX 6400
+/* Windows without overload after which the limit goes up by a step_limit. */
 #define CALM_WINDOWS 20
 
 /**
  * struct trial - what is measured at one limit
- * @skip: requests that began at the limit before; then the others are counted
- * @begun_us: when their count began
+ * @skip_count: requests that began at the limit before; then the others are
+ * counted
+ * @started_us: when their count began
  * @used_us: time for which all slots together were in use since then
  */
 struct trial
 {
-  uint32_t skip;
+  uint32_t skip_count;
   uint32_t count;
-  uint64_t begun_us;
+  uint64_t started_us;
   uint64_t used_us;
 };
 
 /**
  * struct jl_limit - the limit and what it is set from
- * @cold: the limit that the age of the target's life allows
- * @adaptive: the limit that its latency allows
- * @held_us: mean time for which a request holds its slot
- * @latency_us: mean latency of answers
- * @baseline_us: mean latency of answers of the unloaded target
+ * @cold_limit: the limit that the age of the target's life allows
+ * @adaptive_limit: the limit that its latency allows
+ * @mean_hold_us: mean time for which a request holds its slot
+ * @mean_latency_us: mean latency of answers
+ * @baseline_latency_us: mean latency of answers of the unloaded target
  * @running: requests in progress since @running_us
- * @last_rate: requests for each second at the limit before, 0 without one
- * @upwards: the last step was one up
- * @calm: windows without overload so far
- * @rest: windows left in which nothing is tried
- * @next_rest: the same after the next trial in vain
+ * @previous_rate: requests for each second at the limit before, 0 without one
+ * @upward: the last step_limit was one up
+ * @calm_windows: windows without overload so far
+ * @pause_windows: windows left in which nothing is tried
+ * @next_pause_windows: the same after the next trial in vain
  */
 struct jl_limit
 {
   uint32_t slots;
-  uint32_t cold;
-  uint32_t adaptive;
-  uint64_t begun_us;
+  uint32_t cold_limit;
+  uint32_t adaptive_limit;
+  uint64_t started_us;
   uint64_t cold_start_us;
-  uint64_t held_us;
-  uint64_t latency_us;
-  uint64_t baseline_us;
+  uint64_t mean_hold_us;
+  uint64_t mean_latency_us;
+  uint64_t baseline_latency_us;
   uint32_t baseline_count;
   struct trial trial;
   uint32_t running;
   uint64_t running_us;
-  uint64_t last_rate;
-  bool upwards;
-  uint32_t calm;
-  uint32_t rest;
-  uint32_t next_rest;
+  uint64_t previous_rate;
+  bool upward;
+  uint32_t calm_windows;
+  uint32_t pause_windows;
+  uint32_t next_pause_windows;
 };
 
 struct jl_limit *
@@ -84,7 +86,7 @@
 {
   struct jl_limit *limit = g_new0 (struct jl_limit, 1);
 
-  limit->next_rest = REST_WINDOWS;
+  limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
   return limit;
 }
 
@@ -97,30 +99,30 @@
 uint32_t
 jl_limit_get (const struct jl_limit *limit)
 {
-  return MIN (limit->cold, limit->adaptive);
+  return MIN (limit->cold_limit, limit->adaptive_limit);
 }
 
 uint64_t
-jl_limit_held (const struct jl_limit *limit)
+jl_limit_mean_hold_us (const struct jl_limit *limit)
 {
-  return limit->held_us;
+  return limit->mean_hold_us;
 }
 
 static uint32_t
-share_of (uint32_t slots, uint32_t share)
+slots_divided (uint32_t slots, uint32_t share)
 {
   return MIN (slots, MAX (slots / share, 1));
 }
 
 static void
-grow_cold (struct jl_limit *limit, uint64_t now_us)
+update_cold_limit (struct jl_limit *limit, uint64_t now_us)
 {
-  uint32_t first = share_of (limit->slots, COLD_SHARE);
-  uint64_t age_us = now_us - limit->begun_us;
+  uint32_t first = slots_divided (limit->slots, COLD_START_DIVISOR);
+  uint64_t age_us = now_us - limit->started_us;
 
-  limit->cold = limit->slots;
+  limit->cold_limit = limit->slots;
   if (age_us < limit->cold_start_us)
-    limit->cold
+    limit->cold_limit
         = first
           + (uint32_t)((limit->slots - first) * age_us / limit->cold_start_us);
 }
@@ -128,26 +130,26 @@
 static void
 begin_trial (struct jl_limit *limit)
 {
-  limit->trial = (struct trial){ .skip = limit->slots };
+  limit->trial = (struct trial){ .skip_count = limit->slots };
 }
 
 void
-jl_limit_announced (struct jl_limit *limit,
+jl_limit_set_slots (struct jl_limit *limit,
                     uint64_t now_us,
                     uint32_t slots,
                     bool new_life,
                     uint64_t cold_start_us)
 {
   limit->slots = slots;
-  limit->adaptive = slots;
-  limit->last_rate = 0;
+  limit->adaptive_limit = slots;
+  limit->previous_rate = 0;
   begin_trial (limit);
   if (new_life)
     {
-      limit->begun_us = now_us;
+      limit->started_us = now_us;
       limit->cold_start_us = cold_start_us;
     }
-  grow_cold (limit, now_us);
+  update_cold_limit (limit, now_us);
 }
 
 static uint64_t
@@ -155,11 +157,12 @@
 {
   if (mean_us == 0)
     return value_us;
-  return mean_us - (mean_us >> MEAN_SHIFT) + (value_us >> MEAN_SHIFT);
+  return mean_us - (mean_us >> MEAN_WEIGHT_SHIFT)
+         + (value_us >> MEAN_WEIGHT_SHIFT);
 }
 
 void
-jl_limit_running (struct jl_limit *limit, uint64_t now_us, uint32_t running)
+jl_limit_set_running (struct jl_limit *limit, uint64_t now_us, uint32_t running)
 {
   limit->trial.used_us += limit->running * (now_us - limit->running_us);
   limit->running = running;
@@ -167,145 +170,152 @@
 }
 
 static void
-count_done (struct jl_limit *limit)
+count_trial_request (struct jl_limit *limit)
 {
   struct trial *trial = &limit->trial;
 
-  if (trial->skip == 0)
+  if (trial->skip_count == 0)
     {
       trial->count++;
       return;
     }
-  trial->skip--;
-  trial->begun_us = limit->running_us;
+  trial->skip_count--;
+  trial->started_us = limit->running_us;
   trial->used_us = 0;
 }
 
 void
 jl_limit_done (struct jl_limit *limit,
-               uint64_t held_us,
-               uint64_t latency_us,
+               uint64_t mean_hold_us,
+               uint64_t mean_latency_us,
                uint32_t running)
 {
-  limit->held_us = update_mean (limit->held_us, MAX (held_us, 1));
-  count_done (limit);
-  if (latency_us == 0)
+  limit->mean_hold_us
+      = update_mean (limit->mean_hold_us, MAX (mean_hold_us, 1));
+  count_trial_request (limit);
+  if (mean_latency_us == 0)
     return;
-  limit->latency_us = update_mean (limit->latency_us, latency_us);
-  if (running <= share_of (limit->slots, UNLOADED_SHARE))
+  limit->mean_latency_us
+      = update_mean (limit->mean_latency_us, mean_latency_us);
+  if (running <= slots_divided (limit->slots, UNLOADED_DIVISOR))
     {
-      limit->baseline_us = update_mean (limit->baseline_us, latency_us);
+      limit->baseline_latency_us
+          = update_mean (limit->baseline_latency_us, mean_latency_us);
       limit->baseline_count++;
     }
 }
 
 static void
-step (struct jl_limit *limit, bool upwards)
+step_limit (struct jl_limit *limit, bool upward)
 {
-  uint32_t size = MAX (limit->adaptive * STEP_PERCENT / 100, 1);
-  uint32_t lowest = share_of (limit->slots, FLOOR_SHARE);
+  uint32_t size = MAX (limit->adaptive_limit * STEP_PERCENT / 100, 1);
+  uint32_t lowest = slots_divided (limit->slots, MIN_LIMIT_DIVISOR);
 
-  limit->upwards = upwards;
-  if (upwards)
-    limit->adaptive = MIN (limit->adaptive + size, limit->slots);
+  limit->upward = upward;
+  if (upward)
+    limit->adaptive_limit = MIN (limit->adaptive_limit + size, limit->slots);
   else
-    limit->adaptive
-        = MAX (limit->adaptive - MIN (size, limit->adaptive), lowest);
+    limit->adaptive_limit = MAX (
+        limit->adaptive_limit - MIN (size, limit->adaptive_limit), lowest);
 }
 
 static bool
 is_slow (const struct jl_limit *limit)
 {
-  return limit->baseline_count >= BASELINE_COUNT
-         && limit->latency_us * 100 > limit->baseline_us * SLOW_PERCENT;
+  return limit->baseline_count >= BASELINE_SAMPLES_MIN
+         && limit->mean_latency_us * 100
+                > limit->baseline_latency_us * SLOW_LATENCY_PERCENT;
 }
 
 /* Tries a lower limit if the target is slow at all its slots. */
 static void
-judge_at_slots (struct jl_limit *limit, uint64_t rate)
+evaluate_at_slots (struct jl_limit *limit, uint64_t rate)
 {
-  bool in_vain = limit->last_rate > 0;
+  bool failed = limit->previous_rate > 0;
 
-  limit->last_rate = 0;
-  if (in_vain)
+  limit->previous_rate = 0;
+  if (failed)
     {
-      limit->rest = limit->next_rest;
-      limit->next_rest = MIN (2 * limit->next_rest, REST_WINDOWS_MAX);
+      limit->pause_windows = limit->next_pause_windows;
+      limit->next_pause_windows
+          = MIN (2 * limit->next_pause_windows, TRIAL_PAUSE_WINDOWS_MAX);
     }
   else if (is_slow (limit))
     {
-      limit->last_rate = rate;
-      step (limit, false);
+      limit->previous_rate = rate;
+      step_limit (limit, false);
     }
 }
 
-/* Goes on in the same direction while that pays, or turns back. */
+/* Goes on in the same direction while that improved, or turns back. */
 static void
-judge_below_slots (struct jl_limit *limit, uint64_t rate)
+evaluate_below_slots (struct jl_limit *limit, uint64_t rate)
 {
-  uint32_t percent
-      = limit->upwards ? 100 + TOLERANCE_PERCENT : 100 - TOLERANCE_PERCENT;
-  bool pays = rate * 100 >= limit->last_rate * percent;
+  uint32_t percent = limit->upward ? 100 + RATE_TOLERANCE_PERCENT
+                                   : 100 - RATE_TOLERANCE_PERCENT;
+  bool improved = rate * 100 >= limit->previous_rate * percent;
 
-  limit->last_rate = rate;
-  step (limit, pays ? limit->upwards : !limit->upwards);
+  limit->previous_rate = rate;
+  step_limit (limit, improved ? limit->upward : !limit->upward);
 }
 
 static void
-judge_trial (struct jl_limit *limit)
+evaluate_trial (struct jl_limit *limit)
 {
   const struct trial *trial = &limit->trial;
-  uint64_t span_us = MAX (limit->running_us - trial->begun_us, 1);
+  uint64_t span_us = MAX (limit->running_us - trial->started_us, 1);
   uint64_t rate = trial->count * JL_USEC_PER_SEC / span_us;
-  bool used = trial->used_us * 100 >= span_us * USED_PERCENT * limit->adaptive;
+  bool used = trial->used_us * 100
+              >= span_us * TRIAL_UTILIZATION_PERCENT * limit->adaptive_limit;
 
   if (!used)
     {
       begin_trial (limit);
       return;
     }
-  if (limit->adaptive == limit->slots)
-    judge_at_slots (limit, rate);
+  if (limit->adaptive_limit == limit->slots)
+    evaluate_at_slots (limit, rate);
   else
-    judge_below_slots (limit, rate);
+    evaluate_below_slots (limit, rate);
   begin_trial (limit);
 }
 
 /* Without overload the limit comes back up. */
 static void
-note_calm (struct jl_limit *limit)
+handle_calm_window (struct jl_limit *limit)
 {
   begin_trial (limit);
-  if (++limit->calm < CALM_WINDOWS)
+  if (++limit->calm_windows < CALM_WINDOWS)
     return;
-  limit->calm = 0;
-  limit->last_rate = 0;
-  limit->next_rest = REST_WINDOWS;
-  step (limit, true);
+  limit->calm_windows = 0;
+  limit->previous_rate = 0;
+  limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
+  step_limit (limit, true);
 }
 
 void
-jl_limit_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
+jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
 {
-  if (limit->cold < limit->slots)
-    grow_cold (limit, now_us);
+  if (limit->cold_limit < limit->slots)
+    update_cold_limit (limit, now_us);
   if (!overloaded)
     {
-      note_calm (limit);
+      handle_calm_window (limit);
       return;
     }
-  limit->calm = 0;
-  if (limit->rest > 0)
+  limit->calm_windows = 0;
+  if (limit->pause_windows > 0)
     {
-      limit->rest--;
+      limit->pause_windows--;
       begin_trial (limit);
     }
-  else if (limit->trial.count >= TRIAL_COUNT)
-    judge_trial (limit);
+  else if (limit->trial.count >= TRIAL_REQUESTS_MIN)
+    evaluate_trial (limit);
 }
 
 bool
 jl_limit_settled (const struct jl_limit *limit)
 {
-  return limit->cold == limit->slots && limit->adaptive == limit->slots;
+  return limit->cold_limit == limit->slots
+         && limit->adaptive_limit == limit->slots;
 }
--- a/source/core/limit.h
+++ b/source/core/limit.h
@@ -19,11 +19,11 @@
 void jl_limit_drop (struct jl_limit *limit);
 
 /**
- * jl_limit_announced - the target has announced @slots
+ * jl_limit_set_slots - the target has announced @slots
  * @new_life: it is another process than before
  * @cold_start_us: time over which the limit grows
  */
-void jl_limit_announced (struct jl_limit *limit,
+void jl_limit_set_slots (struct jl_limit *limit,
                          uint64_t now_us,
                          uint32_t slots,
                          bool new_life,
@@ -35,10 +35,11 @@
 uint32_t jl_limit_get (const struct jl_limit *limit);
 
 /**
- * jl_limit_running - @running requests are in progress from now on
+ * jl_limit_set_running - @running requests are in progress from now on
  */
-void
-jl_limit_running (struct jl_limit *limit, uint64_t now_us, uint32_t running);
+void jl_limit_set_running (struct jl_limit *limit,
+                           uint64_t now_us,
+                           uint32_t running);
 
 /**
  * jl_limit_done - a request has run for @held_us
@@ -51,16 +52,17 @@
                     uint32_t running);
 
 /**
- * jl_limit_held - mean time for which a request holds its slot, 0 while that
- * is not known
+ * jl_limit_mean_hold_us - mean time for which a request holds its slot, 0 while
+ * that is not known
  */
-uint64_t jl_limit_held (const struct jl_limit *limit);
+uint64_t jl_limit_mean_hold_us (const struct jl_limit *limit);
 
 /**
- * jl_limit_window - a control window has ended
+ * jl_limit_end_window - a control window has ended
  * @overloaded: in it requests waited, or were refused
  */
-void jl_limit_window (struct jl_limit *limit, uint64_t now_us, bool overloaded);
+void
+jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded);
 
 /**
  * jl_limit_settled - whether the limit stays as it is without traffic
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -45,7 +45,7 @@
   message->config_version = config_version (core);
   if (core->config != NULL)
     message->config_digest = core->config->digest;
-  jl_poison_fill (core, message);
+  jl_poison_fill_message (core, message);
   core->counts.messages_sent++;
   if (member == NULL)
     return message;
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -12,13 +12,13 @@
 /* What an answer said of a member's level holds this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
 /* After that it is tried out, and forgotten after this long. */
-#define LEVEL_KEEP_US (5 * JL_USEC_PER_SEC)
+#define LEVEL_EXPIRY_US (5 * JL_USEC_PER_SEC)
 /* Of the calls that could try out a member, one in this many does. */
-#define TRIAL_SHARE 8
+#define PROBE_DIVISOR 8
 /* Load that a member reported fades over this time. */
-#define LOAD_FADE_US (1 * JL_USEC_PER_SEC)
+#define LOAD_DECAY_US (1 * JL_USEC_PER_SEC)
 /* Requests in progress for 1000 slots, below which the own target is taken. */
-#define OWN_LOAD_PERMILLE 500
+#define OWN_TARGET_LOAD_PERMILLE 500
 /* The same, from which on members of other zones are looked at. */
 #define SPILL_LOAD_PERMILLE 1000
 /* How much less loaded these have to be. */
@@ -26,16 +26,16 @@
 /* Share of a service's connections that all entries together may take. */
 #define SUBSET_PERCENT 80
 /* Members of a service that each entry uses at least. */
-#define SUBSET_MIN 4
+#define SUBSET_MEMBERS_MIN 4
 /* A new member counts as having one part in this many of its slots. */
-#define COLD_SHARE 4
+#define COLD_START_DIVISOR 4
 /* How often the members are counted. */
 #define COUNT_INTERVAL_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct hint - when callers of a service are to come back
+ * struct retry_hint - when callers of a service are to come back
  */
-struct hint
+struct retry_hint
 {
   uint32_t retry_after_ms;
   uint64_t heard_us;
@@ -43,17 +43,17 @@
 
 /**
  * struct jl_place - lists for one choice
- * @near: members of the own zone that take the call
- * @far: those of other zones
- * @hints: the last refusal for overload by each service
- * @daemons: number of members, counted at @counted_us
+ * @same_zone: members of the own zone that take the call
+ * @other_zones: those of other zones
+ * @retry_hints: the last refusal for overload by each service
+ * @daemon_count: number of members, counted at @counted_us
  */
 struct jl_place
 {
-  GPtrArray *near;
-  GPtrArray *far;
-  struct hint hints[JL_SERVICE_MAX];
-  uint32_t daemons;
+  GPtrArray *same_zone;
+  GPtrArray *other_zones;
+  struct retry_hint retry_hints[JL_SERVICE_MAX];
+  uint32_t daemon_count;
   uint64_t counted_us;
 };
 
@@ -62,16 +62,16 @@
 {
   struct jl_place *place = g_new0 (struct jl_place, 1);
 
-  place->near = g_ptr_array_new ();
-  place->far = g_ptr_array_new ();
+  place->same_zone = g_ptr_array_new ();
+  place->other_zones = g_ptr_array_new ();
   return place;
 }
 
 void
 jl_place_drop (struct jl_place *place)
 {
-  g_ptr_array_free (place->near, TRUE);
-  g_ptr_array_free (place->far, TRUE);
+  g_ptr_array_free (place->same_zone, TRUE);
+  g_ptr_array_free (place->other_zones, TRUE);
   g_free (place);
 }
 
@@ -90,11 +90,12 @@
   return member->info.identity.member == core->identity.member;
 }
 
-/* Whether @member refuses calls of @priority, as far as is known. */
+/* Whether @member is_refusing calls of @priority, as other_zones as is known.
+ */
 static bool
-refuses (struct jl_core *core,
-         const struct jl_member *member,
-         uint32_t priority)
+is_refusing (struct jl_core *core,
+             const struct jl_member *member,
+             uint32_t priority)
 {
   uint64_t age_us = core->now_us - member->level_us;
 
@@ -103,21 +104,21 @@
   if (is_self (core, member))
     return priority >= jl_admit_level (core);
   if (member->level_us == 0 || priority < member->level
-      || age_us > LEVEL_KEEP_US)
+      || age_us > LEVEL_EXPIRY_US)
     return false;
   if (age_us <= LEVEL_FRESH_US || member->in_flight > 0)
     return true;
-  return jl_random_below (core, TRIAL_SHARE) != 0;
+  return jl_random_below (core, PROBE_DIVISOR) != 0;
 }
 
 /* Slots that a member is taken to have; fewer while it is new. */
 static uint64_t
-slots_of (const struct jl_core *core, const struct jl_member *member)
+effective_slots (const struct jl_core *core, const struct jl_member *member)
 {
   uint64_t slots = MAX (member->info.slots, 1);
   uint64_t age_us = core->now_us - member->first_seen_us;
   uint64_t cold_us = core->config->services[member->service].cold_start_us;
-  uint64_t first = MAX (slots / COLD_SHARE, 1);
+  uint64_t first = MAX (slots / COLD_START_DIVISOR, 1);
 
   if (age_us >= cold_us)
     return slots;
@@ -126,15 +127,16 @@
 
 /* Requests in progress for 1000 slots, by what is known here. */
 static uint64_t
-load_of (struct jl_core *core, const struct jl_member *member)
+estimate_load_permille (struct jl_core *core, const struct jl_member *member)
 {
   uint64_t age_us = core->now_us - member->load_us;
-  uint64_t load = UINT64_C (1000) * member->in_flight / slots_of (core, member);
+  uint64_t load
+      = UINT64_C (1000) * member->in_flight / effective_slots (core, member);
 
   if (is_self (core, member))
-    return jl_admit_load (core);
-  if (member->load_us > 0 && age_us < LOAD_FADE_US)
-    load += member->load_permille * (LOAD_FADE_US - age_us) / LOAD_FADE_US;
+    return jl_admit_load_permille (core);
+  if (member->load_us > 0 && age_us < LOAD_DECAY_US)
+    load += member->load_permille * (LOAD_DECAY_US - age_us) / LOAD_DECAY_US;
   return load;
 }
 
@@ -155,13 +157,13 @@
 {
   struct jl_place *place = core->place;
 
-  if (place->daemons == 0
+  if (place->daemon_count == 0
       || place->counted_us + COUNT_INTERVAL_US <= core->now_us)
     {
-      place->daemons = MAX (jl_members_count (core), 1);
+      place->daemon_count = MAX (jl_members_count (core), 1);
       place->counted_us = core->now_us;
     }
-  return place->daemons;
+  return place->daemon_count;
 }
 
 /* How many members of a service this daemon may use. */
@@ -170,12 +172,12 @@
 {
   uint64_t size = connections * SUBSET_PERCENT / 100 / count_daemons (core);
 
-  return (uint32_t)CLAMP (size, MIN (SUBSET_MIN, members), members);
+  return (uint32_t)CLAMP (size, MIN (SUBSET_MEMBERS_MIN, members), members);
 }
 
 /* Moves the @count first by rank to the front, and cuts off the others. */
 static void
-cut_to_subset (struct jl_core *core, GPtrArray *members, uint32_t count)
+truncate_to_subset (struct jl_core *core, GPtrArray *members, uint32_t count)
 {
   if (members->len <= count)
     return;
@@ -195,7 +197,7 @@
 
 /* The less loaded of two that are drawn at random. */
 static struct jl_member *
-draw (struct jl_core *core, const GPtrArray *members)
+pick_less_loaded (struct jl_core *core, const GPtrArray *members)
 {
   uint32_t first = jl_random_below (core, members->len);
   uint32_t second;
@@ -207,40 +209,46 @@
   second
       = (first + 1 + jl_random_below (core, members->len - 1)) % members->len;
   b = g_ptr_array_index (members, second);
-  return load_of (core, b) < load_of (core, a) ? b : a;
+  return estimate_load_permille (core, b) < estimate_load_permille (core, a)
+             ? b
+             : a;
 }
 
 /* Chooses from the lists of candidates, of which one is not empty. */
 static struct jl_member *
-choose (struct jl_core *core)
+choose_candidate (struct jl_core *core)
 {
   const struct jl_place *place = core->place;
-  struct jl_member *near;
-  struct jl_member *far;
+  struct jl_member *same_zone;
+  struct jl_member *other_zones;
   uint64_t load;
 
-  if (place->near->len == 0)
-    return draw (core, place->far);
-  near = draw (core, place->near);
-  load = load_of (core, near);
-  if (load < SPILL_LOAD_PERMILLE || place->far->len == 0)
-    return near;
-  far = draw (core, place->far);
-  return load_of (core, far) + SPILL_MARGIN_PERMILLE <= load ? far : near;
+  if (place->same_zone->len == 0)
+    return pick_less_loaded (core, place->other_zones);
+  same_zone = pick_less_loaded (core, place->same_zone);
+  load = estimate_load_permille (core, same_zone);
+  if (load < SPILL_LOAD_PERMILLE || place->other_zones->len == 0)
+    return same_zone;
+  other_zones = pick_less_loaded (core, place->other_zones);
+  return estimate_load_permille (core, other_zones) + SPILL_MARGIN_PERMILLE
+                 <= load
+             ? other_zones
+             : same_zone;
 }
 
 /* Whether the own target is among the candidates and has slots to spare. */
 static struct jl_member *
-find_own (struct jl_core *core)
+find_own_target (struct jl_core *core)
 {
-  const GPtrArray *near = core->place->near;
+  const GPtrArray *same_zone = core->place->same_zone;
 
-  for (uint32_t i = 0; i < near->len; i++)
+  for (uint32_t i = 0; i < same_zone->len; i++)
     {
-      struct jl_member *member = g_ptr_array_index (near, i);
+      struct jl_member *member = g_ptr_array_index (same_zone, i);
 
       if (is_self (core, member))
-        return jl_admit_load (core) < OWN_LOAD_PERMILLE ? member : NULL;
+        return jl_admit_load_permille (core) < OWN_TARGET_LOAD_PERMILLE ? member
+                                                                        : NULL;
     }
   return NULL;
 }
@@ -248,9 +256,10 @@
 static void
 add_candidate (struct jl_core *core, struct jl_member *member)
 {
-  bool near = strcmp (member->info.zone, core->options.zone) == 0;
+  bool same_zone = strcmp (member->info.zone, core->options.zone) == 0;
 
-  g_ptr_array_add (near ? core->place->near : core->place->far, member);
+  g_ptr_array_add (
+      same_zone ? core->place->same_zone : core->place->other_zones, member);
 }
 
 uint32_t
@@ -264,28 +273,29 @@
 }
 
 /*
- * Fills the lists with members that take the call; @ejected says whether
- * those count to which a sending of ours has just failed.
+ * Fills the lists with members that take the call; @include_ejected says
+ * whether those count to which a sending of ours has just failed.
  *
- * Return: true when some member was left out because it refuses the call.
+ * Return: true when some member was left out because it is_refusing the call.
  */
 static bool
-gather (struct jl_core *core,
-        const struct jl_call *call,
-        struct cds_list_head *members,
-        bool ejected)
+collect_candidates (struct jl_core *core,
+                    const struct jl_call *call,
+                    struct cds_list_head *members,
+                    bool include_ejected)
 {
   struct jl_member *each;
   bool refused = false;
 
-  g_ptr_array_set_size (core->place->near, 0);
-  g_ptr_array_set_size (core->place->far, 0);
+  g_ptr_array_set_size (core->place->same_zone, 0);
+  g_ptr_array_set_size (core->place->other_zones, 0);
   cds_list_for_each_entry (each, members, by_service)
   {
-    if (!jl_member_serves (each) || (!ejected && !jl_member_usable (core, each))
+    if (!jl_member_serves (each)
+        || (!include_ejected && !jl_member_usable (core, each))
         || was_tried (call, each->info.identity.member))
       continue;
-    if (refuses (core, each, call->priority))
+    if (is_refusing (core, each, call->priority))
       refused = true;
     else
       add_candidate (core, each);
@@ -294,7 +304,7 @@
 }
 
 static uint32_t
-subset_of (struct jl_core *core, struct cds_list_head *members)
+service_subset_size (struct jl_core *core, struct cds_list_head *members)
 {
   struct jl_member *each;
   uint64_t connections = 0;
@@ -311,10 +321,10 @@
 static bool
 has_candidates (const struct jl_place *place)
 {
-  return place->near->len + place->far->len > 0;
+  return place->same_zone->len + place->other_zones->len > 0;
 }
 
-enum jl_place_verdict
+enum jl_place_status
 jl_place_choose (struct jl_core *core,
                  const struct jl_call *call,
                  struct jl_member **member)
@@ -326,21 +336,23 @@
 
   if (members == NULL)
     return JL_PLACE_NO_TARGET;
-  if (gather (core, call, members, false) && !has_candidates (place))
+  if (collect_candidates (core, call, members, false)
+      && !has_candidates (place))
     return JL_PLACE_REFUSED;
   /* One broken connection does not bar the last target of a service. */
-  if (!has_candidates (place) && gather (core, call, members, true)
+  if (!has_candidates (place) && collect_candidates (core, call, members, true)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
   if (!has_candidates (place))
     return JL_PLACE_NO_TARGET;
-  *member = find_own (core);
+  *member = find_own_target (core);
   if (*member != NULL)
     return JL_PLACE_CHOSEN;
-  count = subset_of (core, members);
-  cut_to_subset (core, place->near, count);
-  cut_to_subset (core, place->far, MAX (count - place->near->len, 1));
-  *member = choose (core);
+  count = service_subset_size (core, members);
+  truncate_to_subset (core, place->same_zone, count);
+  truncate_to_subset (core, place->other_zones,
+                      MAX (count - place->same_zone->len, 1));
+  *member = choose_candidate (core);
   return JL_PLACE_CHOSEN;
 }
 
@@ -371,18 +383,18 @@
 }
 
 uint32_t
-jl_place_retry_after (struct jl_core *core, uint32_t service)
+jl_place_retry_after_ms (struct jl_core *core, uint32_t service)
 {
-  const struct hint *hint;
+  const struct retry_hint *retry_hint;
 
   if (service >= JL_SERVICE_MAX)
     return 0;
-  hint = &core->place->hints[service];
-  if (hint->retry_after_ms == 0
-      || hint->heard_us + LEVEL_KEEP_US < core->now_us)
+  retry_hint = &core->place->retry_hints[service];
+  if (retry_hint->retry_after_ms == 0
+      || retry_hint->heard_us + LEVEL_EXPIRY_US < core->now_us)
     return 0;
-  return hint->retry_after_ms / 2
-         + jl_random_below (core, hint->retry_after_ms);
+  return retry_hint->retry_after_ms / 2
+         + jl_random_below (core, retry_hint->retry_after_ms);
 }
 
 void
@@ -402,8 +414,8 @@
     return;
   if (event->outcome == JL_OUTCOME_NOT_RUN
       && event->reason == JL_REASON_OVERLOAD && member->service != JL_NONE)
-    core->place->hints[member->service]
-        = (struct hint){ event->retry_after_ms, core->now_us };
+    core->place->retry_hints[member->service]
+        = (struct retry_hint){ event->retry_after_ms, core->now_us };
   member->load_permille = event->report.load_permille;
   member->load_us = core->now_us;
   for (uint32_t i = 0; i < event->report.count; i++)
--- a/source/core/place.h
+++ b/source/core/place.h
@@ -26,11 +26,11 @@
 void jl_place_drop (struct jl_place *place);
 
 /**
- * enum jl_place_verdict - why jl_place_choose() chose none
+ * enum jl_place_status - why jl_place_choose() chose none
  * @JL_PLACE_NO_TARGET: no usable member has announced the service
  * @JL_PLACE_REFUSED: every usable one refuses this priority
  */
-enum jl_place_verdict
+enum jl_place_status
 {
   JL_PLACE_CHOSEN,
   JL_PLACE_NO_TARGET,
@@ -40,9 +40,9 @@
 /**
  * jl_place_choose - chooses a member for @call, none that it tried before
  */
-enum jl_place_verdict jl_place_choose (struct jl_core *core,
-                                       const struct jl_call *call,
-                                       struct jl_member **member);
+enum jl_place_status jl_place_choose (struct jl_core *core,
+                                      const struct jl_call *call,
+                                      struct jl_member **member);
 
 /**
  * jl_place_service - index of the service of @call in the configuration in
@@ -59,10 +59,11 @@
 uint32_t jl_place_level (struct jl_core *core, uint32_t service);
 
 /**
- * jl_place_retry_after - when a caller is to come back whose call every member
- * of a service refuses, with jitter; 0 while no member has said so lately
+ * jl_place_retry_after_ms - when a caller is to come back whose call every
+ * member of a service refuses, with jitter; 0 while no member has said so
+ * lately
  */
-uint32_t jl_place_retry_after (struct jl_core *core, uint32_t service);
+uint32_t jl_place_retry_after_ms (struct jl_core *core, uint32_t service);
 
 /**
  * jl_place_sent - a call was sent to @member
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -11,22 +11,22 @@
 
 /* Strikes on different targets from which a request is refused. */
 #define STRIKE_LIMIT 2
-/* A strike counts for this long. */
-#define STRIKE_KEEP_US (300 * JL_USEC_PER_SEC)
+/* A strike is_active for this long. */
+#define STRIKE_EXPIRY_US (300 * JL_USEC_PER_SEC)
 /* Contents that are remembered, and targets for each. */
 #define RECORD_MAX 2048
-#define TARGET_MAX 4
+#define RECORD_TARGETS_MAX 4
 /* Messages that one strike is put into. */
-#define GOSSIP_COUNT 40
+#define GOSSIP_MESSAGES_PER_STRIKE 40
 /* Records that are looked at for one message. */
-#define GOSSIP_SEARCH 64
+#define GOSSIP_RECORDS_MAX 64
 /* Strikes are collected for this long, then the own service's daemons told. */
-#define TELL_DELAY_US (1 * JL_USEC_PER_MSEC)
-/* A strike that is heard of again counts anew if it is younger by this. */
-#define REPEAT_US (5 * JL_USEC_PER_SEC)
+#define NOTIFY_DELAY_US (1 * JL_USEC_PER_MSEC)
+/* A strike that is heard of again is_active anew if it is younger by this. */
+#define REPEAT_INTERVAL_US (5 * JL_USEC_PER_SEC)
 /* Contents that were answered are spared for this long. */
-#define ANSWERED_KEEP_US (60 * JL_USEC_PER_SEC)
-#define ANSWERED_COUNT 1024
+#define ANSWERED_EXPIRY_US (60 * JL_USEC_PER_SEC)
+#define ANSWERED_SLOTS 1024
 
 /**
  * struct strike - a target that died
@@ -43,7 +43,7 @@
  * struct record - the strikes of one content
  * @done_us: when it was last answered here; older strikes do not count
  * @changed_us: time of the newest strike or answer, for expiry
- * @untold: the daemons of the own service are still to be told
+ * @notify_pending: the daemons of the own service are still to be told
  * @order: place in the order of @changed_us
  */
 struct record
@@ -51,9 +51,9 @@
   uint64_t digest;
   uint64_t done_us;
   uint64_t changed_us;
-  bool untold;
+  bool notify_pending;
   uint32_t count;
-  struct strike strikes[TARGET_MAX];
+  struct strike strikes[RECORD_TARGETS_MAX];
   struct cds_list_head order;
 };
 
@@ -68,17 +68,18 @@
 
 /**
  * struct jl_poison - all strikes
- * @blamed: a request that ran alone got the strike for the death of @life
+ * @has_blamed_life: a request that ran alone got the strike for the death of
+ * @blamed_life
  */
 struct jl_poison
 {
   GHashTable *records;
   struct cds_list_head order;
-  bool blamed;
-  uint64_t life;
-  struct answered answered[ANSWERED_COUNT];
+  bool has_blamed_life;
+  uint64_t blamed_life;
+  struct answered answered[ANSWERED_SLOTS];
   struct jl_timer expiry;
-  struct jl_timer tell;
+  struct jl_timer notify_timer;
 };
 
 struct jl_poison *
@@ -126,7 +127,7 @@
     {
       const struct record *oldest
           = cds_list_first_entry (&core->poison->order, struct record, order);
-      uint64_t due_us = oldest->changed_us + STRIKE_KEEP_US;
+      uint64_t due_us = oldest->changed_us + STRIKE_EXPIRY_US;
 
       if (due_us > core->now_us)
         {
@@ -139,7 +140,7 @@
 
 /* Moves a record to the end of the order of expiry. */
 static void
-touch (struct jl_core *core, struct record *record)
+refresh_expiry (struct jl_core *core, struct record *record)
 {
   struct jl_poison *poison = core->poison;
 
@@ -148,7 +149,7 @@
   cds_list_add_tail (&record->order, &poison->order);
   if (poison->expiry.index == 0)
     jl_timer_start (core->timers, &poison->expiry,
-                    core->now_us + STRIKE_KEEP_US, expire, core);
+                    core->now_us + STRIKE_EXPIRY_US, expire, core);
 }
 
 static struct record *
@@ -166,17 +167,17 @@
 
 /* Whether a strike is young enough, and no answer came since. */
 static bool
-counts (const struct jl_core *core,
-        const struct record *record,
-        const struct strike *strike)
+is_active (const struct jl_core *core,
+           const struct record *record,
+           const struct strike *strike)
 {
   return strike->struck_us > record->done_us
-         && strike->struck_us + STRIKE_KEEP_US > core->now_us;
+         && strike->struck_us + STRIKE_EXPIRY_US > core->now_us;
 }
 
 /* The place for a strike by @target: its own, a free one, or the oldest's. */
 static struct strike *
-find_place (struct record *record, uint64_t target)
+find_strike_slot (struct record *record, uint64_t target)
 {
   struct strike *oldest = &record->strikes[0];
 
@@ -187,7 +188,7 @@
       if (record->strikes[i].struck_us < oldest->struck_us)
         oldest = &record->strikes[i];
     }
-  if (record->count < TARGET_MAX)
+  if (record->count < RECORD_TARGETS_MAX)
     return &record->strikes[record->count++];
   return oldest;
 }
@@ -216,13 +217,14 @@
     record = add_record (core, digest);
   if (struck_us <= record->done_us)
     return false;
-  strike = find_place (record, target);
-  if (strike->target == target && strike->struck_us + REPEAT_US > struck_us)
+  strike = find_strike_slot (record, target);
+  if (strike->target == target
+      && strike->struck_us + REPEAT_INTERVAL_US > struck_us)
     return false;
   strike->target = target;
   strike->struck_us = struck_us;
-  strike->gossip_left = GOSSIP_COUNT;
-  touch (core, record);
+  strike->gossip_left = GOSSIP_MESSAGES_PER_STRIKE;
+  refresh_expiry (core, record);
   log_strike (core, record, target);
   return true;
 }
@@ -236,14 +238,14 @@
 
 /* Sends the strikes of some records to one daemon of the own service. */
 static void
-tell_member (struct jl_core *core, const struct jl_member *member)
+send_local_strikes (struct jl_core *core, const struct jl_member *member)
 {
   struct jl_message *message = NULL;
   struct record *record;
 
   cds_list_for_each_entry_reverse (record, &core->poison->order, order)
   {
-    if (!record->untold)
+    if (!record->notify_pending)
       continue;
     if (message == NULL)
       {
@@ -273,9 +275,9 @@
   }
 }
 
-/* Tells the daemons that could run the struck requests next. */
+/* Tells the daemons that could run the suspect requests next. */
 static void
-tell (void *context, struct jl_timer *timer G_GNUC_UNUSED)
+notify_members (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
   struct jl_core *core = context;
   struct cds_list_head *members
@@ -288,41 +290,41 @@
     {
       if (member->info.identity.member != core->identity.member
           && member->info.state == JL_MEMBER_ALIVE)
-        tell_member (core, member);
+        send_local_strikes (core, member);
     }
   cds_list_for_each_entry (record, &core->poison->order, order)
   {
-    record->untold = false;
+    record->notify_pending = false;
   }
 }
 
 static void
-strike_own (struct jl_core *core, uint64_t digest)
+add_local_strike (struct jl_core *core, uint64_t digest)
 {
   struct record *record;
 
   if (!add_strike (core, digest, core->identity.member, core->now_us))
     return;
   record = find_record (core, digest);
-  record->untold = true;
-  if (core->poison->tell.index == 0)
-    jl_timer_start (core->timers, &core->poison->tell,
-                    core->now_us + TELL_DELAY_US, tell, core);
+  record->notify_pending = true;
+  if (core->poison->notify_timer.index == 0)
+    jl_timer_start (core->timers, &core->poison->notify_timer,
+                    core->now_us + NOTIFY_DELAY_US, notify_members, core);
 }
 
 static struct answered *
-answered_of (struct jl_core *core, uint64_t digest)
+answered_slot (struct jl_core *core, uint64_t digest)
 {
-  return &core->poison->answered[digest % ANSWERED_COUNT];
+  return &core->poison->answered[digest % ANSWERED_SLOTS];
 }
 
 static bool
 was_answered (struct jl_core *core, uint64_t digest)
 {
-  const struct answered *answered = answered_of (core, digest);
+  const struct answered *answered = answered_slot (core, digest);
 
   return answered->digest == digest && answered->answered_us > 0
-         && answered->answered_us + ANSWERED_KEEP_US > core->now_us;
+         && answered->answered_us + ANSWERED_EXPIRY_US > core->now_us;
 }
 
 bool
@@ -332,24 +334,24 @@
 
   if (work->digest == 0 || core->options.mode != JL_CORE_FULL)
     return false;
-  if (poison->blamed && poison->life == work->target_started)
+  if (poison->has_blamed_life && poison->blamed_life == work->target_started)
     return false;
-  if (work->struck)
+  if (work->suspect)
     {
-      poison->blamed = true;
-      poison->life = work->target_started;
+      poison->has_blamed_life = true;
+      poison->blamed_life = work->target_started;
     }
-  else if (jl_admit_struck_running (core) > 0
+  else if (jl_admit_suspects_running (core) > 0
            || was_answered (core, work->digest))
     return false;
-  strike_own (core, work->digest);
+  add_local_strike (core, work->digest);
   return true;
 }
 
 void
-jl_poison_done (struct jl_core *core, uint64_t digest)
+jl_poison_request_answered (struct jl_core *core, uint64_t digest)
 {
-  struct answered *answered = answered_of (core, digest);
+  struct answered *answered = answered_slot (core, digest);
   struct record *record = find_record (core, digest);
 
   if (digest == 0 || core->options.mode != JL_CORE_FULL)
@@ -359,7 +361,7 @@
   if (record == NULL)
     return;
   record->done_us = core->now_us;
-  touch (core, record);
+  refresh_expiry (core, record);
 }
 
 uint32_t
@@ -371,7 +373,7 @@
   if (record == NULL)
     return 0;
   for (uint32_t i = 0; i < record->count; i++)
-    strikes += counts (core, record, &record->strikes[i]);
+    strikes += is_active (core, record, &record->strikes[i]);
   return strikes;
 }
 
@@ -382,15 +384,15 @@
 }
 
 bool
-jl_poison_runs_alone (struct jl_core *core, uint64_t digest)
+jl_poison_is_suspect (struct jl_core *core, uint64_t digest)
 {
   return jl_poison_strikes (core, digest) > 0;
 }
 
 static void
-fill_from (const struct jl_core *core,
-           struct record *record,
-           struct jl_message *message)
+append_strikes (const struct jl_core *core,
+                struct record *record,
+                struct jl_message *message)
 {
   for (uint32_t i = 0; i < record->count; i++)
     {
@@ -399,7 +401,7 @@
 
       if (message->strike_count == JL_MESSAGE_STRIKE_MAX)
         return;
-      if (strike->gossip_left == 0 || !counts (core, record, strike))
+      if (strike->gossip_left == 0 || !is_active (core, record, strike))
         continue;
       strike->gossip_left--;
       out = &message->strikes[message->strike_count++];
@@ -411,7 +413,7 @@
 }
 
 void
-jl_poison_fill (struct jl_core *core, struct jl_message *message)
+jl_poison_fill_message (struct jl_core *core, struct jl_message *message)
 {
   struct record *record;
   uint32_t searched = 0;
@@ -419,14 +421,14 @@
   cds_list_for_each_entry_reverse (record, &core->poison->order, order)
   {
     if (message->strike_count == JL_MESSAGE_STRIKE_MAX
-        || ++searched > GOSSIP_SEARCH)
+        || ++searched > GOSSIP_RECORDS_MAX)
       return;
-    fill_from (core, record, message);
+    append_strikes (core, record, message);
   }
 }
 
 void
-jl_poison_message (struct jl_core *core, const struct jl_message *message)
+jl_poison_read_message (struct jl_core *core, const struct jl_message *message)
 {
   if (core->options.mode != JL_CORE_FULL)
     return;
@@ -436,7 +438,7 @@
       uint64_t age_us = strike->age_ms * JL_USEC_PER_MSEC;
       uint64_t struck_us = core->now_us > age_us ? core->now_us - age_us : 1;
 
-      if (strike->digest != 0 && age_us < STRIKE_KEEP_US)
+      if (strike->digest != 0 && age_us < STRIKE_EXPIRY_US)
         add_strike (core, strike->digest, strike->target, struck_us);
     }
 }
@@ -445,14 +447,14 @@
 jl_poison_dump (struct jl_core *core, GString *out)
 {
   struct record *record;
-  uint32_t struck = 0;
+  uint32_t suspect = 0;
   uint32_t refused = 0;
 
   cds_list_for_each_entry (record, &core->poison->order, order)
   {
-    struck += jl_poison_runs_alone (core, record->digest);
+    suspect += jl_poison_is_suspect (core, record->digest);
     refused += jl_poison_refuses (core, record->digest);
   }
-  g_string_append_printf (out, "{\"struck\":%u,\"refused\":%u}", struck,
+  g_string_append_printf (out, "{\"struck\":%u,\"refused\":%u}", suspect,
                           refused);
 }
--- a/source/core/poison.h
+++ b/source/core/poison.h
@@ -31,9 +31,9 @@
 void jl_poison_strike (struct jl_core *core, uint64_t digest, uint64_t target);
 
 /**
- * jl_poison_done - a request of this content was answered
+ * jl_poison_request_answered - a request of this content was answered
  */
-void jl_poison_done (struct jl_core *core, uint64_t digest);
+void jl_poison_request_answered (struct jl_core *core, uint64_t digest);
 
 /**
  * jl_poison_strikes - different targets that died with @digest in progress
@@ -46,20 +46,21 @@
 bool jl_poison_refuses (struct jl_core *core, uint64_t digest);
 
 /**
- * jl_poison_runs_alone - whether it may run only while no other request that
+ * jl_poison_is_suspect - whether it may run only while no other request that
  * has a strike does
  */
-bool jl_poison_runs_alone (struct jl_core *core, uint64_t digest);
+bool jl_poison_is_suspect (struct jl_core *core, uint64_t digest);
 
 /**
- * jl_poison_fill - adds recent strikes to a message
+ * jl_poison_fill_message - adds recent strikes to a message
  */
-void jl_poison_fill (struct jl_core *core, struct jl_message *message);
+void jl_poison_fill_message (struct jl_core *core, struct jl_message *message);
 
 /**
- * jl_poison_message - takes over the strikes in a message
+ * jl_poison_read_message - takes over the strikes in a message
  */
-void jl_poison_message (struct jl_core *core, const struct jl_message *message);
+void jl_poison_read_message (struct jl_core *core,
+                             const struct jl_message *message);
 
 void jl_poison_dump (struct jl_core *core, GString *out);
 
--- a/source/core/queue.c
+++ b/source/core/queue.c
@@ -4,35 +4,35 @@
 
 #include "queue.h"
 
-#define LIST_COUNT ((size_t)JL_PRIORITY_COUNT * JL_QUEUE_BANDS)
+#define LIST_COUNT ((size_t)JL_PRIORITY_COUNT * JL_QUEUE_BAND_COUNT)
 #define WORD_BITS 64
 #define WORD_COUNT (LIST_COUNT / WORD_BITS)
-#define TOP_COUNT (WORD_COUNT / WORD_BITS)
+#define SUMMARY_COUNT (WORD_COUNT / WORD_BITS)
 /* Invested work of the lowest band above none. */
-#define BAND_STEP_US 250
+#define BAND_BASE_US 250
 
 /**
  * struct jl_queue - lists in order, with a bitmap of two levels
- * @top: a bit for each word of @words that is not zero
+ * @summary: a bit for each word of @words that is not zero
  * @words: a bit for each list that is not empty
- * @sums: Fenwick tree of the items by priority
+ * @priority_counts: Fenwick tree of the items by priority
  */
 struct jl_queue
 {
-  bool in_order;
+  bool fifo;
   uint32_t count;
-  uint64_t top[TOP_COUNT];
+  uint64_t summary[SUMMARY_COUNT];
   uint64_t words[WORD_COUNT];
-  uint32_t sums[JL_PRIORITY_COUNT + 1];
+  uint32_t priority_counts[JL_PRIORITY_COUNT + 1];
   struct cds_list_head lists[LIST_COUNT];
 };
 
 struct jl_queue *
-jl_queue_new (bool in_order)
+jl_queue_new (bool fifo)
 {
   struct jl_queue *queue = g_new0 (struct jl_queue, 1);
 
-  queue->in_order = in_order;
+  queue->fifo = fifo;
   for (size_t i = 0; i < LIST_COUNT; i++)
     CDS_INIT_LIST_HEAD (&queue->lists[i]);
   return queue;
@@ -46,10 +46,10 @@
 
 /* Band 0 has the most invested work, the last one has none. */
 static uint32_t
-band_of (uint64_t invested_us)
+band_index (uint64_t invested_us)
 {
-  uint64_t bound_us = BAND_STEP_US;
-  uint32_t band = JL_QUEUE_BANDS - 1;
+  uint64_t bound_us = BAND_BASE_US;
+  uint32_t band = JL_QUEUE_BAND_COUNT - 1;
 
   for (; band > 0 && invested_us >= bound_us; band--)
     bound_us *= 4;
@@ -57,47 +57,50 @@
 }
 
 static size_t
-list_of (const struct jl_queue *queue, const struct jl_work *work)
+list_index (const struct jl_queue *queue, const struct jl_work *work)
 {
-  if (queue->in_order)
+  if (queue->fifo)
     return 0;
-  return (size_t)work->priority * JL_QUEUE_BANDS + band_of (work->invested_us);
+  return (size_t)work->priority * JL_QUEUE_BAND_COUNT
+         + band_index (work->invested_us);
 }
 
 static void
-add_to_sums (struct jl_queue *queue, uint32_t priority, uint32_t amount)
+update_priority_counts (struct jl_queue *queue,
+                        uint32_t priority,
+                        uint32_t amount)
 {
   for (uint32_t i = priority + 1; i <= JL_PRIORITY_COUNT; i += i & -i)
-    queue->sums[i] += amount;
+    queue->priority_counts[i] += amount;
 }
 
 void
 jl_queue_add (struct jl_queue *queue, struct jl_work *work)
 {
-  size_t list = list_of (queue, work);
+  size_t list = list_index (queue, work);
   size_t word = list / WORD_BITS;
 
   cds_list_add_tail (&work->queue, &queue->lists[list]);
   queue->words[word] |= UINT64_C (1) << list % WORD_BITS;
-  queue->top[word / WORD_BITS] |= UINT64_C (1) << word % WORD_BITS;
+  queue->summary[word / WORD_BITS] |= UINT64_C (1) << word % WORD_BITS;
   queue->count++;
-  add_to_sums (queue, queue->in_order ? 0 : work->priority, 1);
+  update_priority_counts (queue, queue->fifo ? 0 : work->priority, 1);
 }
 
 void
 jl_queue_remove (struct jl_queue *queue, struct jl_work *work)
 {
-  size_t list = list_of (queue, work);
+  size_t list = list_index (queue, work);
   size_t word = list / WORD_BITS;
 
   cds_list_del_init (&work->queue);
   queue->count--;
-  add_to_sums (queue, queue->in_order ? 0 : work->priority, UINT32_MAX);
+  update_priority_counts (queue, queue->fifo ? 0 : work->priority, UINT32_MAX);
   if (!cds_list_empty (&queue->lists[list]))
     return;
   queue->words[word] &= ~(UINT64_C (1) << list % WORD_BITS);
   if (queue->words[word] == 0)
-    queue->top[word / WORD_BITS] &= ~(UINT64_C (1) << word % WORD_BITS);
+    queue->summary[word / WORD_BITS] &= ~(UINT64_C (1) << word % WORD_BITS);
 }
 
 static size_t
@@ -115,14 +118,14 @@
 struct jl_work *
 jl_queue_first (struct jl_queue *queue)
 {
-  for (size_t i = 0; i < TOP_COUNT; i++)
+  for (size_t i = 0; i < SUMMARY_COUNT; i++)
     {
       size_t word;
       size_t list;
 
-      if (queue->top[i] == 0)
+      if (queue->summary[i] == 0)
         continue;
-      word = i * WORD_BITS + lowest_bit (queue->top[i]);
+      word = i * WORD_BITS + lowest_bit (queue->summary[i]);
       list = word * WORD_BITS + lowest_bit (queue->words[word]);
       return cds_list_first_entry (&queue->lists[list], struct jl_work, queue);
     }
@@ -132,14 +135,14 @@
 struct jl_work *
 jl_queue_last (struct jl_queue *queue)
 {
-  for (size_t i = TOP_COUNT; i-- > 0;)
+  for (size_t i = SUMMARY_COUNT; i-- > 0;)
     {
       size_t word;
       size_t list;
 
-      if (queue->top[i] == 0)
+      if (queue->summary[i] == 0)
         continue;
-      word = i * WORD_BITS + highest_bit (queue->top[i]);
+      word = i * WORD_BITS + highest_bit (queue->summary[i]);
       list = word * WORD_BITS + highest_bit (queue->words[word]);
       return cds_list_entry (queue->lists[list].prev, struct jl_work, queue);
     }
@@ -147,14 +150,14 @@
 }
 
 uint32_t
-jl_queue_ahead (const struct jl_queue *queue, uint32_t priority)
+jl_queue_count_ahead (const struct jl_queue *queue, uint32_t priority)
 {
   uint32_t ahead = 0;
 
-  if (queue->in_order)
+  if (queue->fifo)
     return queue->count;
   for (uint32_t i = priority + 1; i > 0; i -= i & -i)
-    ahead += queue->sums[i];
+    ahead += queue->priority_counts[i];
   return ahead;
 }
 
--- a/source/core/queue.h
+++ b/source/core/queue.h
@@ -12,15 +12,15 @@
 #include "core-impl.h"
 
 /* Bands of work already invested in a request, by powers of four. */
-#define JL_QUEUE_BANDS 8
+#define JL_QUEUE_BAND_COUNT 8
 
 struct jl_queue;
 
 /**
  * jl_queue_new - an empty queue
- * @in_order: items are ordered by arrival only
+ * @fifo: items are ordered by arrival only
  */
-struct jl_queue *jl_queue_new (bool in_order);
+struct jl_queue *jl_queue_new (bool fifo);
 void jl_queue_drop (struct jl_queue *queue);
 
 void jl_queue_add (struct jl_queue *queue, struct jl_work *work);
@@ -40,9 +40,9 @@
 struct jl_work *jl_queue_last (struct jl_queue *queue);
 
 /**
- * jl_queue_ahead - how many items of at least this importance wait
+ * jl_queue_count_ahead - how many items of at least this importance wait
  */
-uint32_t jl_queue_ahead (const struct jl_queue *queue, uint32_t priority);
+uint32_t jl_queue_count_ahead (const struct jl_queue *queue, uint32_t priority);
 
 uint32_t jl_queue_count (const struct jl_queue *queue);
 
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -5,15 +5,15 @@
 #include "retry.h"
 
 /* A retry costs this much of a service's budget. */
-#define RATIO_COST 100
+#define RETRY_COST_HUNDREDTHS 100
 /* Retries that a service may save up. */
-#define RATIO_BURST 10
+#define BUDGET_RETRIES_MAX 10
 /* Sendings of a call in the baseline without tokens. */
-#define FORWARD_SENDS 3
+#define FORWARD_ATTEMPTS_MAX 3
 
 struct jl_retry
 {
-  uint32_t earned[JL_SERVICE_MAX];
+  uint32_t budget_hundredths[JL_SERVICE_MAX];
 };
 
 struct jl_retry *
@@ -22,7 +22,7 @@
   struct jl_retry *retry = g_new0 (struct jl_retry, 1);
 
   for (size_t i = 0; i < JL_SERVICE_MAX; i++)
-    retry->earned[i] = RATIO_BURST * RATIO_COST;
+    retry->budget_hundredths[i] = BUDGET_RETRIES_MAX * RETRY_COST_HUNDREDTHS;
   return retry;
 }
 
@@ -39,29 +39,30 @@
 {
   uint32_t *left;
   uint32_t *lent;
-  uint32_t begun;
+  uint32_t initial;
 };
 
 static struct pool
-pool_of (struct jl_call *call)
+token_pool (struct jl_call *call)
 {
   struct jl_work *parent = call->parent;
 
   if (parent != NULL)
     return (struct pool){ &parent->tokens, &parent->tokens_lent,
-                          parent->tokens_begun };
-  return (struct pool){ &call->tokens, &call->tokens_lent, call->tokens_begun };
+                          parent->tokens_initial };
+  return (struct pool){ &call->tokens, &call->tokens_lent,
+                        call->tokens_initial };
 }
 
 static void
 check_pool (struct pool pool)
 {
-  JL_INVARIANT (*pool.left + *pool.lent <= pool.begun,
+  JL_INVARIANT (*pool.left + *pool.lent <= pool.initial,
                 "no retry tokens are made");
 }
 
 uint32_t
-jl_retry_left (const struct jl_call *call)
+jl_retry_tokens_left (const struct jl_call *call)
 {
   return call->parent != NULL ? call->parent->tokens : call->tokens;
 }
@@ -69,7 +70,7 @@
 uint32_t
 jl_retry_lend (struct jl_core *core G_GNUC_UNUSED, struct jl_call *call)
 {
-  struct pool pool = pool_of (call);
+  struct pool pool = token_pool (call);
   uint32_t lent = (*pool.left + 1) / 2;
 
   *pool.left -= lent;
@@ -84,7 +85,7 @@
                  struct jl_call *call,
                  uint32_t tokens)
 {
-  struct pool pool = pool_of (call);
+  struct pool pool = token_pool (call);
 
   JL_INVARIANT (*pool.lent >= call->lent, "only lent tokens come back");
   *pool.lent -= call->lent;
@@ -94,34 +95,35 @@
 }
 
 void
-jl_retry_first (struct jl_core *core, uint32_t service)
+jl_retry_earn_budget (struct jl_core *core, uint32_t service)
 {
-  uint32_t *earned = &core->retry->earned[service];
+  uint32_t *budget_hundredths = &core->retry->budget_hundredths[service];
 
   if (core->config == NULL || service >= core->config->service_count)
     return;
-  *earned = MIN (*earned + core->config->services[service].retry_percent,
-                 RATIO_BURST * RATIO_COST);
+  *budget_hundredths
+      = MIN (*budget_hundredths + core->config->services[service].retry_percent,
+             BUDGET_RETRIES_MAX * RETRY_COST_HUNDREDTHS);
 }
 
 bool
 jl_retry_spend (struct jl_core *core, struct jl_call *call)
 {
   uint32_t service = call->config->kinds[call->kind].service;
-  uint32_t *earned = &core->retry->earned[service];
-  struct pool pool = pool_of (call);
+  uint32_t *budget_hundredths = &core->retry->budget_hundredths[service];
+  struct pool pool = token_pool (call);
 
   if (core->options.mode == JL_CORE_FORWARD)
-    return call->sends < FORWARD_SENDS;
+    return call->sends < FORWARD_ATTEMPTS_MAX;
   if (JL_SWITCHED_OFF (core, JL_MECHANISM_TOKENS))
     return true;
   if (*pool.left == 0)
     return false;
   if (call->last_reason != JL_REASON_OVERLOAD)
     {
-      if (*earned < RATIO_COST)
+      if (*budget_hundredths < RETRY_COST_HUNDREDTHS)
         return false;
-      *earned -= RATIO_COST;
+      *budget_hundredths -= RETRY_COST_HUNDREDTHS;
     }
   (*pool.left)--;
   return true;
--- a/source/core/retry.h
+++ b/source/core/retry.h
@@ -30,9 +30,9 @@
 jl_retry_return (struct jl_core *core, struct jl_call *call, uint32_t tokens);
 
 /**
- * jl_retry_first - a call's first sending; it earns its service's ratio
+ * jl_retry_earn_budget - a call's first sending; it earns its service's ratio
  */
-void jl_retry_first (struct jl_core *core, uint32_t service);
+void jl_retry_earn_budget (struct jl_core *core, uint32_t service);
 
 /**
  * jl_retry_spend - takes one token for a retry
@@ -42,8 +42,8 @@
 bool jl_retry_spend (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_retry_left - tokens left in the call's pool
+ * jl_retry_tokens_left - tokens left in the call's pool
  */
-uint32_t jl_retry_left (const struct jl_call *call);
+uint32_t jl_retry_tokens_left (const struct jl_call *call);
 
 #endif
--- a/tests/unit/queue.c
+++ b/tests/unit/queue.c
@@ -131,7 +131,7 @@
       cr_assert_eq (jl_queue_first (model.queue), find_first (&model));
       cr_assert_eq (jl_queue_last (model.queue), find_last (&model));
       cr_assert_eq (jl_queue_count (model.queue), model.items->len);
-      cr_assert_eq (jl_queue_ahead (model.queue, priority),
+      cr_assert_eq (jl_queue_count_ahead (model.queue, priority),
                     count_ahead (&model, priority));
     }
   g_rand_free (random);
