--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Admission at the guard.
+ * DOC: Admission control: starts, queues or refuses the work items of the own
+ * target.
  */
 
 #include "admit.h"
@@ -14,37 +15,55 @@
 #include "queue.h"
 #include "run-estimate.h"
 
-/* Waiting items for each slot at most. */
+/* Maximum number of waiting items per slot. */
 #define QUEUE_ITEMS_PER_SLOT_MAX 8
-/* The same without measured control, and before anything was measured. */
+/*
+ * Maximum number of waiting items per slot in the modes without priorities, and
+ * before the mean hold time of a slot is known.
+ */
 #define QUEUE_ITEMS_PER_SLOT_FIFO 2
-/* How far the queue may grow beyond the wait that the service allows. */
+/*
+ * The queue holds at most the items that can start within this multiple of the
+ * allowed wait.
+ */
 #define QUEUE_WAIT_FACTOR 2
+/* Minimum of the bound on the queue, in items. */
 #define QUEUE_ITEMS_MIN 4
-/* Items in the queue for the square root of the slots, at least. */
+/*
+ * The allowed wait is at least the time in which this many items per square
+ * root of the slots drain.
+ */
 #define QUEUE_ITEMS_PER_SQRT_SLOT 4
-/* Wait that is allowed while the own target's service is not configured. */
+/* Allowed wait if the own target's service is not in the configuration. */
 #define QUEUE_WAIT_DEFAULT_US (100 * JL_USEC_PER_MSEC)
-/* The level comes up while the queue is shorter than this part of the wait. */
+/*
+ * The level may be raised while the waiting items can start within this
+ * fraction of the allowed wait.
+ */
 #define BACKLOG_WAIT_DIVISOR 4
-/* A caller comes back after this long, and after up to as much again. */
+/*
+ * A refused caller is told to retry after this time, which grows with the share
+ * of refusals, plus up to 100% of jitter.
+ */
 #define RETRY_AFTER_BASE_MS 500
+/* Maximum of the base delay, before jitter. */
 #define RETRY_AFTER_MAX_MS 8000
-/* A level restored for this long is logged. */
+/* Restoring the level is logged once it has not been lowered for this long. */
 #define RESTORED_LOG_DELAY_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct jl_admit - admission at the own target
- * @started: life of the target that @slots are of
- * @suspects_running: requests with a strike that are running
+ * struct jl_admit - admission control for the own target
+ * @started: start time of the target process that announced @slots
+ * @suspects_running: number of suspect requests that are running
+ * @fifo: requests are handled in order of arrival, without priorities
  * @queue: items that wait for a slot
- * @deferred: items with a strike that wait until no other one runs
- * @window_start_count: items that began to run in this window
- * @window_wait_sum_us: time for which these waited, in sum
- * @window_initial_waiting: items that waited when this window began
- * @window_refused: an item was refused from the queue in this window
- * @last_lowered_us: when the level was last below its highest; 0 if that has
- * been logged as over
+ * @deferred: suspect items that wait until no other suspect request runs
+ * @window_start_count: number of items that started in this window
+ * @window_wait_sum_us: sum of the times for which these items waited
+ * @window_initial_waiting: number of waiting items at the start of this window
+ * @window_refused: whether an item was refused from the queue in this window
+ * @last_lowered_us: when the level was last below its maximum; 0 once its
+ *                   restoration has been logged
  */
 struct jl_admit
 {
@@ -115,9 +134,10 @@
 }
 
 /*
- * Wait above which load is shed: what the service allows, or the time in which
- * a queue drains that keeps the slots in use between chance gaps. Such a queue
- * grows with the square root of the slots.
+ * Returns the wait above which load is shed. This is the wait that the service
+ * allows, or, if longer, the drain time of a queue that is long enough to keep
+ * the slots in use across random gaps between arrivals. The length of such a
+ * queue grows with the square root of the slots.
  */
 static uint64_t
 allowed_wait_us (const struct jl_core *core)
@@ -132,7 +152,10 @@
               (uint64_t)(QUEUE_ITEMS_PER_SQRT_SLOT * hold_us / sqrt (slots)));
 }
 
-/* Items that end, and so can start_work, within @span_us; in thousandths. */
+/*
+ * Returns how many items can finish, and so how many can start, within
+ * @span_us; in thousandths of an item.
+ */
 static uint64_t
 capacity_milli (const struct jl_core *core, uint64_t span_us)
 {
@@ -143,7 +166,7 @@
              : UINT64_C (1000) * current_limit (core) * span_us / hold_us;
 }
 
-/* How many items may wait, as far as the queue's own bounds go. */
+/* Returns how many items may wait, without regard to threads. */
 static uint64_t
 queue_capacity (const struct jl_core *core)
 {
@@ -161,8 +184,9 @@
 }
 
 /*
- * How many items may wait. Each holds a thread of the peer port; what found
- * none would wait in front of the daemon, in no order.
+ * Returns how many items may wait. Each waiting item holds a thread of the peer
+ * port. Without a free thread, requests would wait in front of the daemon,
+ * where they are not ordered by priority.
  */
 static uint64_t
 queue_bound (const struct jl_core *core)
@@ -176,8 +200,7 @@
   return MIN (room, max > running ? max - running : 0);
 }
 
-/* Expected time until an item of @priority would start_work, if it has to wait.
- */
+/* Returns the expected wait of an item of @priority if it is queued now. */
 static uint64_t
 expected_wait_us (const struct jl_core *core, uint32_t priority)
 {
@@ -199,7 +222,7 @@
                   core->now_us + JL_LEVEL_WINDOW_US, end_window, core);
 }
 
-/* The item to give up first of all that wait. */
+/* Returns the least important of all waiting items. */
 static struct jl_work *
 least_important_waiting (struct jl_core *core)
 {
@@ -211,7 +234,7 @@
   return deferred->priority > queued->priority ? deferred : queued;
 }
 
-/* Refuses an item, waiting or just arrived, in favour of others. */
+/* Refuses a waiting or newly arrived item because of overload. */
 static void
 refuse_for_overload (struct jl_core *core, struct jl_work *work)
 {
@@ -230,7 +253,7 @@
                    jl_admit_retry_after_ms (core));
 }
 
-/* Refuses waiting items that the level, or the length of the queue, bars. */
+/* Refuses waiting items that are above the level or exceed the queue bound. */
 static void
 evict (struct jl_core *core)
 {
@@ -261,7 +284,7 @@
   work->deferred = false;
 }
 
-/* Lets an item with a strike wait until the one that runs has ended. */
+/* Makes a suspect item wait until the running suspect request has ended. */
 static void
 defer (struct jl_core *core, struct jl_work *work)
 {
@@ -269,7 +292,9 @@
   jl_queue_add (core->admit->deferred, work);
 }
 
-/* Puts deferred items back into the queue, up to one that still has a strike.
+/*
+ * Moves deferred items back to the queue, up to and including the first that is
+ * still suspect.
  */
 static void
 release_deferred (struct jl_core *core)
@@ -303,7 +328,7 @@
   jl_guard_run (core, work);
 }
 
-/* Requests with a strike run one at a time. */
+/* Whether an item has to wait because only one suspect request may run. */
 static bool
 waits_for_suspect (struct jl_core *core, const struct jl_work *work)
 {
@@ -311,7 +336,7 @@
          && jl_poison_is_suspect (core, work->digest);
 }
 
-/* Takes the next item out of the queue to run it, or to refuse it. */
+/* Removes the next item from the queue and starts, refuses or defers it. */
 static void
 start_or_refuse (struct jl_core *core, struct jl_work *work)
 {
@@ -363,7 +388,7 @@
   start_waiting (core);
 }
 
-/* Refuses an item that is not done in time after a wait of @wait_us. */
+/* Refuses an item that misses its deadline after a wait of @wait_us. */
 static void
 refuse_for_deadline (struct jl_core *core,
                      struct jl_work *work,
@@ -385,7 +410,7 @@
   refuse_for_deadline (core, work, core->now_us - work->arrived_us, 0);
 }
 
-/* Puts an item into the queue, unless it could not be done in time. */
+/* Queues an item, unless it could not finish before its deadline. */
 static void
 enqueue (struct jl_core *core, struct jl_work *work)
 {
@@ -464,7 +489,7 @@
                 > allowed_wait_us (core);
 }
 
-/* Whether the queue has become shorter, and refused nothing. */
+/* Whether the queue got shorter in this window and no item was refused. */
 static bool
 is_queue_shrinking (struct jl_core *core)
 {
@@ -474,7 +499,9 @@
          && jl_admit_waiting (core) < admit->window_initial_waiting;
 }
 
-/* Whether more waits than can start_work in a small part of the allowed wait.
+/*
+ * Whether more items wait than can start in a small fraction of the allowed
+ * wait.
  */
 static bool
 is_backlogged (const struct jl_core *core)
@@ -485,7 +512,7 @@
   return jl_queue_count (core->admit->queue) * UINT64_C (1000) > milli;
 }
 
-/* Logs the first time the level goes down, and when it has come up again. */
+/* Logs when the level is first lowered, and when it has been restored. */
 static void
 log_level (struct jl_core *core)
 {
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -2,10 +2,10 @@
 #define JACKDAWLADDER_CORE_IMPL_H
 
 /**
- * DOC: What the parts of the reducer share with each other.
+ * DOC: Internal types and functions shared by the modules of the reducer.
  *
- * Only files in source/core include this. Each part keeps its state in a
- * structure of its own behind struct jl_core.
+ * Only files in source/core include this header. Each module keeps its state in
+ * an opaque structure of its own, to which struct jl_core points.
  */
 
 #include <urcu/list.h>
@@ -25,10 +25,13 @@
 struct jl_withdraw;
 
 /**
- * struct jl_target - what is known of the own target
- * @service: index in the configuration, JL_NONE if not in it
- * @up: announced, and not seen to fail since
+ * struct jl_target - state of the own target
+ * @service: index of its service in the configuration; JL_NONE if not in it
+ * @slots: number of requests that it accepts at a time
+ * @started: start time of its process, which tells two processes apart
  * @announced_us: time of the last announcement
+ * @up: whether it was announced and has not failed or left since
+ * @lease_timer: expires when announcements stop
  */
 struct jl_target
 {
@@ -43,11 +46,12 @@
 };
 
 /**
- * enum jl_call_state - where a call of the entry stands
- * @JL_CALL_CLAIMING: waits for JL_EVENT_CLAIM_RESULT
- * @JL_CALL_SENT: one sending is out
- * @JL_CALL_FORWARDED: sent on to the minter of its ticket
- * @JL_CALL_CANCELLING: waits for the guard to confirm a cancellation
+ * enum jl_call_state - state of a call at its entry
+ * @JL_CALL_NEW: no attempt is in progress
+ * @JL_CALL_CLAIMING: waiting for JL_EVENT_CLAIM_RESULT
+ * @JL_CALL_SENT: an attempt is in progress
+ * @JL_CALL_FORWARDED: forwarded to the minter of its ticket
+ * @JL_CALL_CANCELLING: waiting for the guard to confirm a cancellation
  */
 enum jl_call_state
 {
@@ -60,21 +64,28 @@
 
 /**
  * struct jl_call - a request at its entry
- * @config: the configuration that @kind is an index of
- * @parent: the work that makes it, NULL for a caller's
- * @siblings: place in @parent's list of children
- * @at_most_once: its runs are granted under @ticket, at most one of them
- * @has_key: its caller named it, and may have sent it before
- * @may_have_run: some sending may have run
- * @tokens: retry tokens of a call without @parent; else the parent's are used
- * @tokens_initial: what @tokens began with
- * @tokens_lent: what is out of @tokens with the sending in progress
- * @lent: tokens that went out with the sending in progress
- * @attempt: the sending in progress
- * @sent_us: when that began
- * @member: where it went
- * @member_epoch: the life of that daemon
- * @tried: members that are not to be tried again
+ * @config: configuration that @kind is an index into
+ * @parent: work item whose run makes the call; NULL for a call of an external
+ *          caller
+ * @siblings: node in the list of children of @parent
+ * @at_most_once: the request may run at most once, as granted under @ticket
+ * @has_key: the caller sent an idempotency key, and may have sent the request
+ *           before
+ * @forwarded: another daemon forwarded the call to this one
+ * @may_have_run: whether an attempt may have run
+ * @invested_us: work already done for the request up the chain
+ * @tokens: retry tokens of a call without @parent; a call with a parent uses
+ *          the parent's
+ * @tokens_initial: initial value of @tokens
+ * @tokens_lent: part of @tokens that is lent to the attempt in progress
+ * @lent: tokens lent to the attempt in progress, from this pool or the parent's
+ * @sends: number of attempts so far
+ * @attempt: ID of the attempt in progress
+ * @sent_us: when the attempt was sent
+ * @member: member that the attempt was sent to
+ * @member_epoch: epoch of that daemon's process
+ * @tried: members that must not be tried again
+ * @last_reason: why the last attempt was refused or failed
  */
 struct jl_call
 {
@@ -114,7 +125,7 @@
 };
 
 /**
- * enum jl_work_state - where a work item of the guard stands
+ * enum jl_work_state - state of a work item at its guard
  */
 enum jl_work_state
 {
@@ -123,16 +134,19 @@
 };
 
 /**
- * struct jl_work - one sending of a call at its guard
- * @queue: place in the admission queue while it waits
- * @children: calls that the target makes meanwhile, by jl_call.siblings
- * @tokens: retry tokens that its children draw on
- * @tokens_initial: what @tokens began with
- * @tokens_lent: what is out of @tokens with sendings of its children
- * @cancelled: its result is wanted by nobody
- * @deferred: it waits for another request that has a strike to end
- * @suspect: its content had a strike when it began to run
- * @report: what its children's answers said of the services below
+ * struct jl_work - an attempt at its guard
+ * @invested_us: work already done for the request up the chain
+ * @target_started: start time of the target process that runs it
+ * @tokens: retry tokens for the calls in @children
+ * @tokens_initial: initial value of @tokens
+ * @tokens_lent: part of @tokens that is lent to attempts of these calls
+ * @cancelled: the sender no longer needs the result
+ * @deferred: waits until another suspect request has ended
+ * @suspect: its content had a strike when it started; see poison.h
+ * @queue: node in an admission queue while it waits
+ * @children: calls made by the target during the run, linked by
+ *            jl_call.siblings
+ * @report: levels of services further down, from the answers to @children
  */
 struct jl_work
 {
@@ -162,7 +176,7 @@
 };
 
 /**
- * struct jl_counts - counters of decisions, by class where that matters
+ * struct jl_counts - counters of events and decisions, some of them by class
  */
 struct jl_counts
 {
@@ -181,26 +195,42 @@
   uint64_t messages_received;
 };
 
+/**
+ * struct jl_core - state of the reducer
+ * @now_us: time of the event being handled
+ * @stale_until_us: after a pause of the process, requests that arrive before
+ *                  this time may have been delayed for long
+ * @effects: effects of the step in progress
+ * @exit_emitted: JL_EFFECT_EXIT was emitted
+ * @drain_notice_timer: runs while a draining daemon waits for its peers to
+ *                      learn that it drains
+ * @drain_refuse_from_us: external calls are refused from this time on while
+ *                        draining
+ * @root_calls: number of calls without a parent in progress
+ * @calls: number to struct jl_call
+ * @works: number to struct jl_work
+ * @cancelling: attempt number to struct jl_call
+ */
 struct jl_core
 {
   struct jl_core_options options;
   struct jl_identity identity;
   uint64_t now_us;
-  uint64_t stale_until_us; /* what arrives before may have lain for long */
+  uint64_t stale_until_us;
   GRand *random;
   struct jl_timers *timers;
   struct jl_effects *effects;
   struct jl_config *config;
   struct jl_target target;
   bool draining;
-  bool left;
+  bool exit_emitted;
   struct jl_timer drain_notice_timer;
-  uint64_t drain_refuse_from_us; /* from then on callers are refused */
+  uint64_t drain_refuse_from_us;
   uint64_t next_attempt;
-  uint32_t root_calls;    /* calls of callers in progress */
-  GHashTable *calls;      /* number to struct jl_call */
-  GHashTable *works;      /* number to struct jl_work */
-  GHashTable *cancelling; /* attempt number to struct jl_call */
+  uint32_t root_calls;
+  GHashTable *calls;
+  GHashTable *works;
+  GHashTable *cancelling;
   struct jl_members *members;
   struct jl_admit *admit;
   struct jl_place *place;
@@ -227,14 +257,15 @@
                    uint64_t second);
 
 /**
- * jl_random_below - a number from 0 to @bound - 1
+ * jl_random_below - returns a random number from 0 to @bound - 1
  */
 uint32_t jl_random_below (struct jl_core *core, uint32_t bound);
 
 /**
- * JL_INVARIANT - ends the process when an invariant is broken
+ * JL_INVARIANT - aborts the process if an invariant does not hold
  *
- * Always on: a daemon that has broken an invariant must not go on.
+ * Checked in all builds, since a daemon in an inconsistent state must not
+ * continue.
  */
 #define JL_INVARIANT(condition, text)                                          \
   do                                                                           \
@@ -244,7 +275,7 @@
     }                                                                          \
   while (0)
 
-/* Whether a test has switched a mechanism off; never in the product. */
+/* Whether a test has switched a mechanism off; false in release builds. */
 #ifdef JL_TEST_HOOKS
 #  define JL_SWITCHED_OFF(core, mechanism)                                     \
     (((core)->options.switched_off & (mechanism)) != 0)
@@ -252,7 +283,7 @@
 #  define JL_SWITCHED_OFF(core, mechanism) false
 #endif
 
-/* Key of a 64-bit number in a GHashTable with g_direct_hash. */
+/* Converts a 64-bit number to the key of a GHashTable with g_direct_hash. */
 #define JL_HASH_KEY(number) ((gpointer)(uintptr_t)(number))
 
 #endif
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -1,33 +1,39 @@
 /**
- * DOC: The learned call graph.
+ * DOC: The learned call graph: reachability by kind, and levels by service.
  */
 
 #include "graph.h"
 
 #include "member.h"
 
-/* A level holds this long. */
+/* A reported level is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* Of those heard within one or two such spans the highest counts. */
+/* The level of a service is the highest report in this or the last span. */
 #define LEVEL_SPAN_US (50 * JL_USEC_PER_MSEC)
-/* After that it bars, but is tried out; it is forgotten after this long. */
+/* An older level still applies, but is probed; it expires at this age. */
 #define LEVEL_EXPIRY_US (3 * JL_USEC_PER_SEC)
-/* Time from one trial to the next, for each of this many daemons. */
+/*
+ * Interval between two probes of a daemon. It grows by its length for every
+ * PROBE_DAEMONS members, to limit the rate of probes of all daemons together.
+ */
 #define PROBE_INTERVAL_US (50 * JL_USEC_PER_MSEC)
 #define PROBE_DAEMONS 16
-/* Of a kind's requests, this share has to reach a service that bars it. */
+/* A service counts as reached by a kind from this share of its answers on. */
 #define REACH_PERCENT 90
-/* Answers from which the share is known, and at which it is halved. */
+/*
+ * The share counts as known from the minimum number of answers on. At the
+ * maximum all counts are halved, so that older answers lose weight.
+ */
 #define ANSWERS_MIN 4
 #define ANSWERS_MAX 64
 
 /**
- * struct service_level - what answers said of a service's level
- * @span_started_us: when the span in progress began
- * @level: highest level in that span
- * @previous_level: highest level in the span before, 0 for none
- * @heard_us: time of the last answer; 0 for never
- * @next_probe_us: when a request may go through in spite of the level
+ * struct service_level - admission level of a service, as reported by answers
+ * @span_started_us: start of the current span
+ * @level: highest level reported in the current span
+ * @previous_level: highest level reported in the span before; 0 for none
+ * @heard_us: time of the last report; 0 if there was none
+ * @next_probe_us: earliest time of the next probe
  */
 struct service_level
 {
@@ -40,8 +46,8 @@
 
 /**
  * struct reach - which services the requests of a kind reach
- * @answers: requests answered
- * @reached: how many of these went through each service
+ * @answers: number of answered requests
+ * @reached: number of these that went through each service
  */
 struct reach
 {
@@ -139,7 +145,7 @@
   return MAX (known->level, known->previous_level);
 }
 
-/* Whether a request goes through to learn of a level heard long ago. */
+/* Whether to let a request through as a probe of an old level. */
 static bool
 take_probe (struct jl_core *core, struct service_level *known)
 {
--- a/source/core/graph.h
+++ b/source/core/graph.h
@@ -2,24 +2,33 @@
 #define JACKDAWLADDER_GRAPH_H
 
 /**
- * DOC: The learned call graph: which services a kind of request reaches, and
- * what they refuse.
+ * DOC: The learned call graph: which services each kind of request reaches,
+ * and the admission levels of these services.
  *
- * Each answer brings the levels of the services that its request went
- * through. A service bars a kind if nearly all requests of the kind reach it;
- * one that only some reach is left to its own guards. A level holds for a
- * short time. After that it still bars, but now and then a request goes
- * through to learn of it, until it is forgotten.
+ * Each answer reports the levels of the services that its request went
+ * through. A call is refused early if a service refuses its priority and
+ * nearly all requests of its kind reach that service. A service that only some
+ * requests reach is not considered; its own guards refuse the excess. A
+ * reported level is trusted for a short time. After that it still applies, but
+ * a request is let through now and then as a probe, until the level expires.
  */
 
 #include "core-impl.h"
 
 struct jl_graph *jl_graph_new (struct jl_core *core);
 void jl_graph_drop (struct jl_graph *graph);
+
+/**
+ * jl_graph_config - discards the graph when the configuration has changed
+ *
+ * The graph refers to kinds and services by their index in the configuration.
+ */
 void jl_graph_config (struct jl_core *core);
 
 /**
- * jl_graph_learn - an answer to a call of @kind came with @report
+ * jl_graph_learn - updates the graph from the report of an answer
+ * @kind: kind of the call that was answered
+ * @outcome: outcome of the call; only answered calls count for reachability
  */
 void jl_graph_learn (struct jl_core *core,
                      uint32_t kind,
@@ -27,8 +36,9 @@
                      const struct jl_report *report);
 
 /**
- * jl_graph_refuses - whether a call would be refused below its first service
- * @service: the service that refuses it, on true
+ * jl_graph_refuses - whether a call would be refused by a service that its own
+ * service calls
+ * @service: set to the service that refuses the call, on true
  */
 bool jl_graph_refuses (struct jl_core *core,
                        uint32_t kind,
@@ -36,22 +46,29 @@
                        uint32_t *service);
 
 /**
- * jl_graph_level - lowest priority that a service is known to refuse
+ * jl_graph_level - returns the last known admission level of a service
+ *
+ * Return: the level; JL_PRIORITY_COUNT if none is known or it has expired.
  */
 uint32_t jl_graph_level (struct jl_core *core, uint32_t service);
 
 /**
  * jl_report_merge - adds the items of @from to @into
  *
- * Of a service that is in both the higher level stays.
+ * The higher level is kept for a service that is in both.
  */
 void jl_report_merge (struct jl_report *into, const struct jl_report *from);
 
 /**
- * jl_report_add - adds one service, or replaces what is said of it
+ * jl_report_add - sets the level of a service in a report
+ *
+ * A service that is not in the report is ignored when the report is full.
  */
 void jl_report_add (struct jl_report *report, uint32_t service, uint32_t level);
 
+/**
+ * jl_graph_dump - appends the graph to @out as a JSON array
+ */
 void jl_graph_dump (struct jl_core *core, GString *out);
 
 #endif
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The guard: from the arrival of a work item to its end.
+ * DOC: The guard: the life cycle of work items, from arrival to result.
  */
 
 #include "guard.h"
@@ -14,13 +14,19 @@
 #include "poison.h"
 #include "seen.h"
 
-/* An announcement holds this long. */
+/* The target counts as down when it has not announced itself for this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
-/* A drained daemon refuses for this long, until its peers have heard of it. */
+/*
+ * A draining daemon keeps refusing work for at least this long, so that its
+ * peers learn that it drains.
+ */
 #define DRAIN_NOTICE_US (2 * JL_USEC_PER_SEC)
-/* It goes on as an entry for this long, if calls never come to an end. */
+/*
+ * A draining daemon accepts calls as an entry for at most this long, if there
+ * are always calls in progress.
+ */
 #define DRAIN_ENTRY_MAX_US (30 * JL_USEC_PER_SEC)
-/* When to come back after a refusal that is no matter of load. */
+/* Retry delay, plus up to 100% of jitter, of refusals not due to overload. */
 #define RETRY_AFTER_BASE_MS 500
 
 static const struct jl_kind *
@@ -96,7 +102,10 @@
   mark_target_down (core, JL_REASON_DRAINING);
 }
 
-/* Fills the report of an answer with the own state and that below. */
+/*
+ * Fills the report of an answer with the load and level of this daemon, and
+ * with the levels that the answers to the calls of @work reported.
+ */
 static void
 fill_report (struct jl_core *core,
              struct jl_report *report,
@@ -109,7 +118,7 @@
     jl_report_merge (report, &work->report);
 }
 
-/* Answers an event for which no work item was made. */
+/* Refuses an attempt for which no work item was created. */
 static void
 refuse_event (struct jl_core *core,
               const struct jl_event_work *event,
@@ -129,7 +138,9 @@
   core->counts.refused_reason[reason]++;
 }
 
-/* Why a sending is refused before admission, JL_REASON_NONE if it is not. */
+/*
+ * Returns the reason to refuse an attempt before admission, or JL_REASON_NONE.
+ */
 static enum jl_reason
 check_event (struct jl_core *core, const struct jl_event_work *event)
 {
@@ -208,7 +219,7 @@
   jl_admit_submit (core, work);
 }
 
-/* Answers the sender of a work item and frees the item. */
+/* Reports the result of a work item to its sender and frees the item. */
 static struct jl_effect_finish *
 finish_work (struct jl_core *core,
              struct jl_work *work,
@@ -265,7 +276,7 @@
   run->budget_us = work->deadline_us - core->now_us;
 }
 
-/* The target's connection broke under a running item. */
+/* Handles a connection to the target that broke during a run. */
 static void
 handle_broken_run (struct jl_core *core, struct jl_work *work)
 {
@@ -338,7 +349,7 @@
   struct jl_work *work
       = g_hash_table_lookup (core->works, JL_HASH_KEY (number));
 
-  /* What an earlier life of this daemon ran is not known any more. */
+  /* This process does not know what an earlier process of the daemon ran. */
   if (message->to.epoch != core->identity.epoch)
     {
       answer_cancel (core, message, JL_MESSAGE_CANCEL_LATE);
@@ -363,7 +374,10 @@
                      : JL_MESSAGE_CANCEL_LATE);
 }
 
-/* Only wakes the reducer up; jl_guard_check_drained() does the rest. */
+/*
+ * Only makes the reducer run a step: jl_guard_check_drained() is called at the
+ * end of each.
+ */
 static void
 handle_drain_notice_end (void *context G_GNUC_UNUSED,
                          struct jl_timer *timer G_GNUC_UNUSED)
@@ -387,12 +401,13 @@
 void
 jl_guard_check_drained (struct jl_core *core)
 {
-  if (!core->draining || core->left || core->drain_notice_timer.index != 0)
+  if (!core->draining || core->exit_emitted
+      || core->drain_notice_timer.index != 0)
     return;
   if ((g_hash_table_size (core->works) > 0
        || g_hash_table_size (core->calls) > 0)
       && !JL_SWITCHED_OFF (core, JL_MECHANISM_DRAIN))
     return;
-  core->left = true;
+  core->exit_emitted = true;
   jl_emit (core, JL_EFFECT_EXIT);
 }
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -1,35 +1,43 @@
 /**
- * DOC: The admission level, from arrivals by priority.
+ * DOC: The admission level, computed from the demand of each priority.
  */
 
 #include "level.h"
 
-/* Arrivals for each window are kept in parts of an item. */
+/* Fixed-point representation of one item in the averages of arrivals. */
 #define FIXED_POINT_ONE (1 << 16)
 #define ITEM_MILLI 1000
-/* Weight of the newest window, below the level: 1 in 4. */
+/* Weight of the newest window below the level: 1/4. */
 #define ADMITTED_WEIGHT_SHIFT 2
-/* Above the level arrivals are kept longer, since they stay away: 1 in 64. */
+/*
+ * Weight of the newest window above the level: 1/64. The average decays more
+ * slowly there, since refused callers back off and are not seen for a while.
+ */
 #define REFUSED_WEIGHT_SHIFT 6
-/* Share of the capacity that is let in after an overloaded window. */
+/* Share of the capacity that is admitted after an overloaded window. */
 #define OVERLOADED_CAPACITY_PERCENT 98
-/* Overloaded windows in a row after which less is let in than before. */
+/*
+ * After this many consecutive overloaded windows, the demand admitted is
+ * reduced to a share of what was admitted before.
+ */
 #define PERSISTENT_WINDOWS 3
 #define PERSISTENT_DEMAND_PERCENT 95
-/* First step up, in priorities; each next one is twice as large. */
+/* The first step up, in priorities. Each further step is twice as large. */
 #define STEP_MIN 8
 #define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
 /**
- * struct jl_level - the level and what it is set from
- * @value: lowest priority refused
- * @lowest_refused: most important priority refused in this window
- * @step: how far it comes up at most after the next good window
- * @overloaded: overloaded windows in a row
- * @arrived: arrivals in this window, by priority
- * @demand: arrivals for each window, smoothed, by priority; in parts
- * @arrivals: arrivals in this window
- * @refusals: refusals in this window
+ * struct jl_level - the level and the measurements behind it
+ * @value: the level, the smallest priority value that is refused
+ * @lowest_refused: most important priority that was refused in this window
+ * @step: maximum increase of the level after the next window without overload
+ * @overloaded: number of consecutive overloaded windows
+ * @arrivals: number of arrivals in this window
+ * @refusals: number of refusals in this window
+ * @refused_permille: moving average of the share of arrivals that were refused
+ * @arrived: arrivals in this window by priority
+ * @demand: moving average of the arrivals per window by priority, in fixed
+ * point
  */
 struct jl_level
 {
@@ -94,7 +102,7 @@
   level->value = MIN (level->value, priority + 1);
 }
 
-/* Takes the arrivals of this window into the smoothed ones. */
+/* Updates the moving averages with the arrivals of this window. */
 static void
 update_demand (struct jl_level *level)
 {
@@ -111,7 +119,7 @@
     }
 }
 
-/* The highest level below which no more than @room parts arrive. */
+/* Returns the highest level at which the demand admitted fits @room. */
 static uint32_t
 highest_level_within (const struct jl_level *level, uint64_t room)
 {
@@ -137,7 +145,10 @@
   return sum;
 }
 
-/* The most important priority that arrives is never refused by the level. */
+/*
+ * Returns the lowest level that still admits the most important priority for
+ * which requests arrive.
+ */
 static uint32_t
 min_level (const struct jl_level *level)
 {
--- a/source/core/level.h
+++ b/source/core/level.h
@@ -2,16 +2,18 @@
 #define JACKDAWLADDER_LEVEL_H
 
 /**
- * DOC: The admission level: the lowest priority that is refused.
+ * DOC: The admission level: the smallest priority value that is refused.
  *
- * Arrivals are counted by priority in short windows. When a window was
- * overloaded, the level goes down to where the arrivals below it fit the
- * measured capacity. When it was not, the level comes up in growing steps, as
- * far as the arrivals last seen above it fit.
+ * A smaller value is more important. Arrivals are counted by priority in short
+ * control windows. After an overloaded window the level is lowered until the
+ * arrivals below it fit the measured capacity. After other windows it is
+ * raised in growing steps, as far as the arrivals most recently counted above
+ * it fit too.
  */
 
 #include "core-impl.h"
 
+/* Length of a control window. */
 #define JL_LEVEL_WINDOW_US (50 * JL_USEC_PER_MSEC)
 
 struct jl_level;
@@ -20,39 +22,45 @@
 void jl_level_drop (struct jl_level *level);
 
 /**
- * jl_level_get - lowest priority refused; JL_PRIORITY_COUNT refuses none
+ * jl_level_get - returns the smallest priority value that is refused
+ *
+ * Return: the level; JL_PRIORITY_COUNT when no priority is refused.
  */
 uint32_t jl_level_get (const struct jl_level *level);
 
 /**
- * jl_level_count_arrival - an item of @priority has arrived, refused or not
+ * jl_level_count_arrival - counts an arrival, whether it is then refused or not
  */
 void jl_level_count_arrival (struct jl_level *level, uint32_t priority);
 
 /**
- * jl_level_count_refusal - an item of @priority was refused for overload
+ * jl_level_count_refusal - counts an overload refusal
  *
- * Nothing less important is let in before the window ends.
+ * Lowers the level so that no less important item is admitted before the
+ * window ends.
  */
 void jl_level_count_refusal (struct jl_level *level, uint32_t priority);
 
 /**
- * jl_level_lowest_refused - most important priority refused in this window,
- * JL_PRIORITY_COUNT for none
+ * jl_level_lowest_refused - returns the most important priority, which is the
+ * smallest value, that was refused in this window
+ *
+ * Return: the priority; JL_PRIORITY_COUNT if there was no refusal.
  */
 uint32_t jl_level_lowest_refused (const struct jl_level *level);
 
 /**
- * jl_level_refused_permille - share of the arrivals refused in recent windows
+ * jl_level_refused_permille - returns the moving average of the share of
+ * arrivals that were refused
  */
 uint32_t jl_level_refused_permille (const struct jl_level *level);
 
 /**
- * struct jl_level_window - what a window was like
- * @capacity_milli: items that can run in one window, in thousandths; 0 while
- *                  that is not known
- * @overloaded: items waited too long, or were refused from the queue
- * @waiting: items wait at its end
+ * struct jl_level_window - measurements of a control window
+ * @capacity_milli: items that the target can complete in one window, in
+ *                  thousandths of an item; 0 while this is not known
+ * @overloaded: whether items waited too long or were refused from the queue
+ * @waiting: whether a backlog remains, so that the level must not be raised
  */
 struct jl_level_window
 {
@@ -62,13 +70,15 @@
 };
 
 /**
- * jl_level_end_window - sets the level for the next window
+ * jl_level_end_window - sets the level for the next window from the arrivals
+ * and refusals of this one
  */
 void jl_level_end_window (struct jl_level *level,
                           const struct jl_level_window *window);
 
 /**
- * jl_level_idle - whether nothing is refused and nothing has arrived lately
+ * jl_level_idle - whether no priority is refused and the averages of arrivals
+ * and refusals have decayed to zero
  */
 bool jl_level_idle (const struct jl_level *level);
 
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -1,42 +1,52 @@
 /**
- * DOC: The limit on requests in progress.
+ * DOC: The adaptive concurrency limit: cold start and hill climbing by measured
+ * throughput.
  */
 
 #include "limit.h"
 
-/* A new target starts with one part in this many of its slots. */
+/* A new target starts with its slots divided by this. */
 #define COLD_START_DIVISOR 8
-/* The limit never goes below one part in this many of the slots. */
+/* The limit is never below the slots divided by this. */
 #define MIN_LIMIT_DIVISOR 4
-/* Up to this share of its slots a target counts as unloaded. */
+/* The target counts as unloaded up to its slots divided by this. */
 #define UNLOADED_DIVISOR 4
-/* Weight of the newest latency in the means: 1 in 32. */
+/* The newest sample has a weight of 1/32 in the moving averages. */
 #define MEAN_WEIGHT_SHIFT 5
-/* Latency above the unloaded one from which a lower limit is tried. */
+/*
+ * A lower limit is tried when the latency exceeds this percentage of the
+ * latency without load.
+ */
 #define SLOW_LATENCY_PERCENT 300
-/* Answers of the unloaded target from which its latency is known. */
+/* Number of samples from which the latency without load counts as known. */
 #define BASELINE_SAMPLES_MIN 64
-/* Requests over which the rate at one limit is measured. */
+/* Number of requests over which the throughput at one limit is measured. */
 #define TRIAL_REQUESTS_MIN 200
-/* Use of the limit from which the rate says something of it. */
+/* A trial is only valid if at least this share of the limit was in use. */
 #define TRIAL_UTILIZATION_PERCENT 85
-/* Size of a step_limit. */
+/* Size of a step as a share of the current limit. */
 #define STEP_PERCENT 20
-/* A step_limit down may cost this much of the rate, a step_limit up has to gain
- * it. */
+/*
+ * A step down may reduce the throughput by up to this much; a step up has to
+ * increase it by at least this much.
+ */
 #define RATE_TOLERANCE_PERCENT 8
-/* Windows to wait after a lower limit did not help, at first and at most. */
+/*
+ * Number of windows without trials after a lower limit brought no improvement.
+ * It doubles with each further failure, up to the maximum.
+ */
 #define TRIAL_PAUSE_WINDOWS 200
 #define TRIAL_PAUSE_WINDOWS_MAX 6400
-/* Windows without overload after which the limit goes up by a step_limit. */
+/* The limit is raised by one step after this many windows without overload. */
 #define CALM_WINDOWS 20
 
 /**
- * struct trial - what is measured at one limit
- * @skip_count: requests that began at the limit before; then the others are
- * counted
- * @started_us: when their count began
- * @used_us: time for which all slots together were in use since then
+ * struct trial - throughput measurement at one limit
+ * @skip_count: completions still to be ignored, since these requests may have
+ *              started under the previous limit
+ * @count: completions counted after that
+ * @started_us: when counting started
+ * @used_us: time for which slots were in use since then, summed over all slots
  */
 struct trial
 {
@@ -47,18 +57,20 @@
 };
 
 /**
- * struct jl_limit - the limit and what it is set from
- * @cold_limit: the limit that the age of the target's life allows
- * @adaptive_limit: the limit that its latency allows
- * @mean_hold_us: mean time for which a request holds its slot
- * @mean_latency_us: mean latency of answers
- * @baseline_latency_us: mean latency of answers of the unloaded target
+ * struct jl_limit - the limit and the measurements behind it
+ * @cold_limit: limit by the age of the target process
+ * @adaptive_limit: limit by the measured latency and throughput
+ * @started_us: when the target process was first announced
+ * @mean_hold_us: moving average of the time for which a request holds its slot
+ * @mean_latency_us: moving average of the latency of answers
+ * @baseline_latency_us: moving average of the latency of answers without load
  * @running: requests in progress since @running_us
- * @previous_rate: requests for each second at the limit before, 0 without one
- * @upward: the last step_limit was one up
- * @calm_windows: windows without overload so far
- * @pause_windows: windows left in which nothing is tried
- * @next_pause_windows: the same after the next trial in vain
+ * @previous_rate: throughput at the previous limit in requests per second; 0 if
+ *                 there is none to compare with
+ * @upward: whether the last step raised the limit
+ * @calm_windows: consecutive windows without overload
+ * @pause_windows: remaining windows in which no trial takes place
+ * @next_pause_windows: length of the pause after the next failed trial
  */
 struct jl_limit
 {
@@ -227,7 +239,10 @@
                 > limit->baseline_latency_us * SLOW_LATENCY_PERCENT;
 }
 
-/* Tries a lower limit if the target is slow at all its slots. */
+/*
+ * Tries a lower limit if the target is slow with all of its slots in use.
+ * Pauses the trials if the previous one led back to all slots.
+ */
 static void
 evaluate_at_slots (struct jl_limit *limit, uint64_t rate)
 {
@@ -247,7 +262,7 @@
     }
 }
 
-/* Goes on in the same direction while that improved, or turns back. */
+/* Steps on in the same direction if the throughput improved, else back. */
 static void
 evaluate_below_slots (struct jl_limit *limit, uint64_t rate)
 {
@@ -280,7 +295,7 @@
   begin_trial (limit);
 }
 
-/* Without overload the limit comes back up. */
+/* Raises the limit step by step while there is no overload. */
 static void
 handle_calm_window (struct jl_limit *limit)
 {
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Placement by zone, rank and two random choices.
+ * DOC: Placement by zone, rendezvous hashing and two random choices.
  */
 
 #include "place.h"
@@ -9,31 +9,34 @@
 
 #include "admit.h"
 
-/* What an answer said of a member's level holds this long. */
+/* A level that a member reported is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* After that it is tried out, and forgotten after this long. */
+/* An older level is probed, and expires at this age. */
 #define LEVEL_EXPIRY_US (5 * JL_USEC_PER_SEC)
-/* Of the calls that could try out a member, one in this many does. */
+/* One in this many calls probes a member whose reported level is old. */
 #define PROBE_DIVISOR 8
-/* Load that a member reported fades over this time. */
+/* The load that a member reported decays to zero over this time. */
 #define LOAD_DECAY_US (1 * JL_USEC_PER_SEC)
-/* Requests in progress for 1000 slots, below which the own target is taken. */
+/*
+ * The own target is used without comparison while it has fewer than this many
+ * requests per 1000 slots.
+ */
 #define OWN_TARGET_LOAD_PERMILLE 500
-/* The same, from which on members of other zones are looked at. */
+/* Members of other zones are considered from this load on. */
 #define SPILL_LOAD_PERMILLE 1000
-/* How much less loaded these have to be. */
+/* A member of another zone has to be less loaded by at least this much. */
 #define SPILL_MARGIN_PERMILLE 250
-/* Share of a service's connections that all entries together may take. */
+/* Share of the connections of a service that all entries together may use. */
 #define SUBSET_PERCENT 80
-/* Members of a service that each entry uses at least. */
+/* Minimum number of members of a service that each entry uses. */
 #define SUBSET_MEMBERS_MIN 4
-/* A new member counts as having one part in this many of its slots. */
+/* A new member counts with its slots divided by this at first. */
 #define COLD_START_DIVISOR 4
-/* How often the members are counted. */
+/* Interval at which the members are counted. */
 #define COUNT_INTERVAL_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct retry_hint - when callers of a service are to come back
+ * struct retry_hint - retry delay that a service last sent with a refusal
  */
 struct retry_hint
 {
@@ -42,10 +45,10 @@
 };
 
 /**
- * struct jl_place - lists for one choice
- * @same_zone: members of the own zone that take the call
- * @other_zones: those of other zones
- * @retry_hints: the last refusal for overload by each service
+ * struct jl_place - state of placement
+ * @same_zone: candidates of the own zone for the call being placed
+ * @other_zones: candidates of other zones
+ * @retry_hints: retry delay of the last overload refusal of each service
  * @daemon_count: number of members, counted at @counted_us
  */
 struct jl_place
@@ -90,8 +93,7 @@
   return member->info.identity.member == core->identity.member;
 }
 
-/* Whether @member is_refusing calls of @priority, as other_zones as is known.
- */
+/* Whether @member is known or assumed to refuse calls of @priority. */
 static bool
 is_refusing (struct jl_core *core,
              const struct jl_member *member,
@@ -111,7 +113,7 @@
   return jl_random_below (core, PROBE_DIVISOR) != 0;
 }
 
-/* Slots that a member is taken to have; fewer while it is new. */
+/* Returns the slots a member counts with, which are fewer while it is new. */
 static uint64_t
 effective_slots (const struct jl_core *core, const struct jl_member *member)
 {
@@ -125,7 +127,10 @@
   return first + (slots - first) * age_us / cold_us;
 }
 
-/* Requests in progress for 1000 slots, by what is known here. */
+/*
+ * Estimates the requests per 1000 slots of a member from its last reported load
+ * and the attempts in flight from here.
+ */
 static uint64_t
 estimate_load_permille (struct jl_core *core, const struct jl_member *member)
 {
@@ -140,7 +145,10 @@
   return load;
 }
 
-/* Place of @member among those of its service, as this daemon sees them. */
+/*
+ * Returns the rank of @member in the rendezvous hashing of this daemon. Members
+ * with lower ranks are preferred.
+ */
 static uint64_t
 rank_of (const struct jl_core *core, struct jl_member *member)
 {
@@ -166,7 +174,7 @@
   return place->daemon_count;
 }
 
-/* How many members of a service this daemon may use. */
+/* Returns how many members of a service this daemon may use. */
 static uint32_t
 subset_size (struct jl_core *core, uint32_t members, uint64_t connections)
 {
@@ -175,7 +183,7 @@
   return (uint32_t)CLAMP (size, MIN (SUBSET_MEMBERS_MIN, members), members);
 }
 
-/* Moves the @count first by rank to the front, and cuts off the others. */
+/* Keeps the @count members with the lowest ranks and removes all others. */
 static void
 truncate_to_subset (struct jl_core *core, GPtrArray *members, uint32_t count)
 {
@@ -195,7 +203,7 @@
   g_ptr_array_set_size (members, (int)count);
 }
 
-/* The less loaded of two that are drawn at random. */
+/* Returns the less loaded of two members chosen at random. */
 static struct jl_member *
 pick_less_loaded (struct jl_core *core, const GPtrArray *members)
 {
@@ -214,7 +222,7 @@
              : a;
 }
 
-/* Chooses from the lists of candidates, of which one is not empty. */
+/* Chooses a member from the candidates, of which there must be at least one. */
 static struct jl_member *
 choose_candidate (struct jl_core *core)
 {
@@ -236,7 +244,7 @@
              : same_zone;
 }
 
-/* Whether the own target is among the candidates and has slots to spare. */
+/* Returns the own member if it is a candidate and lightly loaded, else NULL. */
 static struct jl_member *
 find_own_target (struct jl_core *core)
 {
@@ -273,10 +281,11 @@
 }
 
 /*
- * Fills the lists with members that take the call; @include_ejected says
- * whether those count to which a sending of ours has just failed.
+ * Collects the members that admit the call as candidates. Members to which an
+ * attempt of this daemon has just failed are included if @include_ejected is
+ * true.
  *
- * Return: true when some member was left out because it is_refusing the call.
+ * Return: whether some member was left out because it refuses the call.
  */
 static bool
 collect_candidates (struct jl_core *core,
@@ -339,7 +348,7 @@
   if (collect_candidates (core, call, members, false)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
-  /* One broken connection does not bar the last target of a service. */
+  /* A failed attempt must not exclude the last target of a service. */
   if (!has_candidates (place) && collect_candidates (core, call, members, true)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Strikes against requests that were in progress when a target died.
+ * DOC: Strikes against content that was in progress when a target died.
  */
 
 #include "poison.h"
@@ -9,28 +9,38 @@
 #include "admit.h"
 #include "member.h"
 
-/* Strikes on different targets from which a request is refused. */
+/* Content is refused from this many strikes on different targets on. */
 #define STRIKE_LIMIT 2
-/* A strike is_active for this long. */
+/* A strike expires after this time. */
 #define STRIKE_EXPIRY_US (300 * JL_USEC_PER_SEC)
-/* Contents that are remembered, and targets for each. */
+/* Maximum number of records, and of targets in each record. */
 #define RECORD_MAX 2048
 #define RECORD_TARGETS_MAX 4
-/* Messages that one strike is put into. */
+/* Number of gossip messages that carry a strike. */
 #define GOSSIP_MESSAGES_PER_STRIKE 40
-/* Records that are looked at for one message. */
+/* Maximum number of records that are searched to fill one message. */
 #define GOSSIP_RECORDS_MAX 64
-/* Strikes are collected for this long, then the own service's daemons told. */
+/*
+ * Strikes of the own target are batched for this long before the daemons of the
+ * own service are notified.
+ */
 #define NOTIFY_DELAY_US (1 * JL_USEC_PER_MSEC)
-/* A strike that is heard of again is_active anew if it is younger by this. */
+/*
+ * A further strike by the same target counts as new, and is gossiped again,
+ * only if it is younger than the recorded one by at least this much.
+ */
 #define REPEAT_INTERVAL_US (5 * JL_USEC_PER_SEC)
-/* Contents that were answered are spared for this long. */
+/*
+ * Content that was answered within this time gets no strike unless it is
+ * suspect when it runs.
+ */
 #define ANSWERED_EXPIRY_US (60 * JL_USEC_PER_SEC)
 #define ANSWERED_SLOTS 1024
 
 /**
- * struct strike - a target that died
- * @gossip_left: messages that it is still put into
+ * struct strike - record that a target died while running the content
+ * @target: member ID of the daemon whose target died
+ * @gossip_left: number of messages that are still to carry the strike
  */
 struct strike
 {
@@ -40,11 +50,12 @@
 };
 
 /**
- * struct record - the strikes of one content
+ * struct record - strikes against one content
  * @done_us: when it was last answered here; older strikes do not count
- * @changed_us: time of the newest strike or answer, for expiry
- * @notify_pending: the daemons of the own service are still to be told
- * @order: place in the order of @changed_us
+ * @changed_us: time of the newest strike or answer, from which expiry counts
+ * @notify_pending: the daemons of the own service have not been notified yet
+ * @count: number of entries of @strikes in use
+ * @order: node in jl_poison.order
  */
 struct record
 {
@@ -58,7 +69,7 @@
 };
 
 /**
- * struct answered - a content that was answered by the own target
+ * struct answered - content that was recently answered
  */
 struct answered
 {
@@ -68,8 +79,13 @@
 
 /**
  * struct jl_poison - all strikes
- * @has_blamed_life: a request that ran alone got the strike for the death of
- * @blamed_life
+ * @records: digest to struct record
+ * @order: records ordered by @changed_us, oldest first
+ * @has_blamed_life: whether a suspect request got the strike for the death of
+ *                   the target process @blamed_life, so that no other request
+ *                   gets one for it
+ * @blamed_life: start time of that process
+ * @answered: recently answered contents, indexed by digest
  */
 struct jl_poison
 {
@@ -138,7 +154,7 @@
     }
 }
 
-/* Moves a record to the end of the order of expiry. */
+/* Restarts the expiry time of a record and moves it to the end of the order. */
 static void
 refresh_expiry (struct jl_core *core, struct record *record)
 {
@@ -165,7 +181,7 @@
   return record;
 }
 
-/* Whether a strike is young enough, and no answer came since. */
+/* Whether a strike has not expired and no answer came after it. */
 static bool
 is_active (const struct jl_core *core,
            const struct record *record,
@@ -175,7 +191,10 @@
          && strike->struck_us + STRIKE_EXPIRY_US > core->now_us;
 }
 
-/* The place for a strike by @target: its own, a free one, or the oldest's. */
+/*
+ * Returns the entry to use for a strike by @target: its existing one, a free
+ * one, or the oldest.
+ */
 static struct strike *
 find_strike_slot (struct record *record, uint64_t target)
 {
@@ -193,7 +212,10 @@
   return oldest;
 }
 
-/* Logs strikes of the own target, and the one from which it is refused. */
+/*
+ * Logs each strike by the own target, and a strike by any target with which the
+ * content reaches the limit.
+ */
 static void
 log_strike (struct jl_core *core, const struct record *record, uint64_t target)
 {
@@ -203,7 +225,7 @@
     jl_log_event (core, JL_LOG_STRIKE, record->digest, strikes);
 }
 
-/* Return: whether that is news. */
+/* Records a strike. Return: whether it was new. */
 static bool
 add_strike (struct jl_core *core,
             uint64_t digest,
@@ -236,7 +258,7 @@
     add_strike (core, digest, target, core->now_us);
 }
 
-/* Sends the strikes of some records to one daemon of the own service. */
+/* Sends the pending strikes of the own target to a daemon of its service. */
 static void
 send_local_strikes (struct jl_core *core, const struct jl_member *member)
 {
@@ -275,7 +297,7 @@
   }
 }
 
-/* Tells the daemons that could run the suspect requests next. */
+/* Notifies the daemons that are likely to get the suspect requests next. */
 static void
 notify_members (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
--- a/source/core/queue.c
+++ b/source/core/queue.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The queue of admission.
+ * DOC: The admission queue: lists by priority, indexed by a two-level bitmap.
  */
 
 #include "queue.h"
@@ -8,14 +8,15 @@
 #define WORD_BITS 64
 #define WORD_COUNT (LIST_COUNT / WORD_BITS)
 #define SUMMARY_COUNT (WORD_COUNT / WORD_BITS)
-/* Invested work of the lowest band above none. */
+/* Smallest amount of invested work that is not in the last band. */
 #define BAND_BASE_US 250
 
 /**
- * struct jl_queue - lists in order, with a bitmap of two levels
- * @summary: a bit for each word of @words that is not zero
- * @words: a bit for each list that is not empty
- * @priority_counts: Fenwick tree of the items by priority
+ * struct jl_queue - lists of waiting items, indexed by a two-level bitmap
+ * @fifo: all items are in the first list, in order of arrival
+ * @summary: one bit per word of @words; set if the word is not zero
+ * @words: one bit per list; set if the list is not empty
+ * @priority_counts: Fenwick tree of the number of items of each priority
  */
 struct jl_queue
 {
@@ -44,7 +45,7 @@
   g_free (queue);
 }
 
-/* Band 0 has the most invested work, the last one has none. */
+/* Returns the band: 0 for the most invested work, the last for the least. */
 static uint32_t
 band_index (uint64_t invested_us)
 {
--- a/source/core/queue.h
+++ b/source/core/queue.h
@@ -2,23 +2,23 @@
 #define JACKDAWLADDER_QUEUE_H
 
 /**
- * DOC: The queue of admission: waiting work items in order of importance.
+ * DOC: The admission queue: waiting work items ordered by importance.
  *
- * Items are kept in one list for each priority and band of invested work, and
- * a bitmap of the lists that are not empty. No operation's cost grows with
- * the number of items.
+ * There is one list for each pair of a priority and a band of invested work,
+ * and a bitmap of the lists that are not empty. The cost of every operation is
+ * independent of the number of items.
  */
 
 #include "core-impl.h"
 
-/* Bands of work already invested in a request, by powers of four. */
+/* Bands of work already invested in a request; their bounds grow fourfold. */
 #define JL_QUEUE_BAND_COUNT 8
 
 struct jl_queue;
 
 /**
- * jl_queue_new - an empty queue
- * @fifo: items are ordered by arrival only
+ * jl_queue_new - creates an empty queue
+ * @fifo: whether to order items by arrival only
  */
 struct jl_queue *jl_queue_new (bool fifo);
 void jl_queue_drop (struct jl_queue *queue);
@@ -27,23 +27,31 @@
 void jl_queue_remove (struct jl_queue *queue, struct jl_work *work);
 
 /**
- * jl_queue_first - the item to run next, NULL when there is none
+ * jl_queue_first - returns the item to run next
  *
- * The most important; of these one with the most invested work; of these the
- * oldest.
+ * Items are ordered by priority, then by band of invested work with the most
+ * work first, then by arrival.
+ *
+ * Return: the first item, or NULL when the queue is empty.
  */
 struct jl_work *jl_queue_first (struct jl_queue *queue);
 
 /**
- * jl_queue_last - the item to give up first, NULL when there is none
+ * jl_queue_last - returns the item to refuse first under overload
+ *
+ * Return: the last item, or NULL when the queue is empty.
  */
 struct jl_work *jl_queue_last (struct jl_queue *queue);
 
 /**
- * jl_queue_count_ahead - how many items of at least this importance wait
+ * jl_queue_count_ahead - returns the number of waiting items that are at least
+ * as important as @priority; all items in a FIFO queue
  */
 uint32_t jl_queue_count_ahead (const struct jl_queue *queue, uint32_t priority);
 
+/**
+ * jl_queue_count - returns the number of waiting items
+ */
 uint32_t jl_queue_count (const struct jl_queue *queue);
 
 #endif
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -1,14 +1,14 @@
 /**
- * DOC: Retry tokens of a tree, and the retry ratio of a service.
+ * DOC: Retry tokens of a call tree, and the retry budget of each service.
  */
 
 #include "retry.h"
 
-/* A retry costs this much of a service's budget. */
+/* Cost of a retry; a first attempt earns retry_percent hundredths. */
 #define RETRY_COST_HUNDREDTHS 100
-/* Retries that a service may save up. */
+/* Maximum number of retries that the budget of a service holds. */
 #define BUDGET_RETRIES_MAX 10
-/* Sendings of a call in the baseline without tokens. */
+/* Maximum attempts of a call in forward mode, which has no retry tokens. */
 #define FORWARD_ATTEMPTS_MAX 3
 
 struct jl_retry
@@ -33,7 +33,10 @@
 }
 
 /**
- * struct pool - the tokens that a call draws on: its parent's, or its own
+ * struct pool - retry tokens that a call uses: those of its parent, or its own
+ * @left: tokens that can be lent or spent
+ * @lent: tokens that went out with attempts in progress
+ * @initial: number of tokens at the start
  */
 struct pool
 {
--- a/source/core/run-estimate.c
+++ b/source/core/run-estimate.c
@@ -1,18 +1,22 @@
 /**
- * DOC: Estimates of the quicker runs by kind.
+ * DOC: Run time estimates by kind of request.
  */
 
 #include "run-estimate.h"
 
 #include <string.h>
 
-/* How fast an estimate goes down and up. */
+/*
+ * Weight of a new sample below the estimate, 1/4, and above it, 1/64. The
+ * estimate thus follows the shorter runs.
+ */
 #define DECREASE_SHIFT 2
 #define INCREASE_SHIFT 6
 
 /**
- * struct jl_run_estimate - the estimates
- * @config_version: configuration whose kinds they are of
+ * struct jl_run_estimate - run time estimates of all kinds
+ * @config_version: version of the configuration that the indices refer to
+ * @run_us: estimate by index of the kind; 0 if there is none
  */
 struct jl_run_estimate
 {
