--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -53,7 +53,7 @@
 
 /**
  * struct jl_admit - admission control for the own target
- * @started: start time of the target process that announced @slots
+ * @target_started: start time of the target process that announced @slots
  * @suspects_running: number of suspect requests that are running
  * @fifo: requests are handled in order of arrival, without priorities
  * @queue: items that wait for a slot
@@ -68,7 +68,7 @@
 struct jl_admit
 {
   uint32_t slots;
-  uint64_t started;
+  uint64_t target_started;
   uint32_t running;
   uint32_t suspects_running;
   bool fifo;
@@ -166,7 +166,7 @@
              : UINT64_C (1000) * current_limit (core) * span_us / hold_us;
 }
 
-/* Returns how many items may wait, without regard to threads. */
+/* Returns how many items may wait, apart from the bound on threads. */
 static uint64_t
 queue_capacity (const struct jl_core *core)
 {
@@ -191,13 +191,13 @@
 static uint64_t
 queue_bound (const struct jl_core *core)
 {
-  uint64_t room = queue_capacity (core);
+  uint64_t capacity = queue_capacity (core);
   uint64_t max = core->options.work_max;
   uint64_t running = core->admit->running;
 
   if (max == 0 || core->options.mode != JL_CORE_FULL)
-    return room;
-  return MIN (room, max > running ? max - running : 0);
+    return capacity;
+  return MIN (capacity, max > running ? max - running : 0);
 }
 
 /* Returns the expected wait of an item of @priority if it is queued now. */
@@ -245,15 +245,15 @@
     {
       jl_level_count_refusal (admit->level, work->priority);
       JL_INVARIANT (last == NULL || last->priority <= work->priority,
-                    "nothing less important waits at a refusal");
+                    "no less important item waits at a refusal");
       JL_INVARIANT (jl_level_get (admit->level) <= work->priority + 1,
-                    "nothing less important is let in after a refusal");
+                    "no less important item is admitted after a refusal");
     }
   jl_guard_refuse (core, work, JL_REASON_OVERLOAD,
                    jl_admit_retry_after_ms (core));
 }
 
-/* Refuses waiting items that are above the level or exceed the queue bound. */
+/* Refuses waiting items that the level excludes or that exceed the bound. */
 static void
 evict (struct jl_core *core)
 {
@@ -318,7 +318,7 @@
 
   JL_INVARIANT (admit->fifo
                     || work->priority <= jl_level_lowest_refused (admit->level),
-                "nothing less important is let in after a refusal");
+                "no less important item is admitted after a refusal");
   jl_timer_stop (core->timers, &work->timer);
   admit->window_start_count++;
   admit->window_wait_sum_us += core->now_us - work->arrived_us;
@@ -376,12 +376,12 @@
   struct jl_admit *admit = core->admit;
   const struct jl_service *service = own_service (core);
   uint64_t cold_start_us = service == NULL ? 0 : service->cold_start_us;
-  bool new_life = slots > 0 && admit->started != core->target.started;
+  bool new_process = slots > 0 && admit->target_started != core->target.started;
 
   admit->slots = slots;
   if (slots > 0)
-    admit->started = core->target.started;
-  jl_limit_set_slots (admit->limit, core->now_us, slots, new_life,
+    admit->target_started = core->target.started;
+  jl_limit_set_slots (admit->limit, core->now_us, slots, new_process,
                       cold_start_us);
   if (slots > 0)
     start_window (core);
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -249,7 +249,7 @@
                  uint32_t retry_after_ms)
 {
   JL_INVARIANT (work->state == JL_WORK_WAITING,
-                "only what has not started is refused as not run");
+                "only a waiting work item is refused as not run");
   jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
   core->counts.refused[work->priority / JL_SAMPLE_COUNT]++;
   core->counts.refused_reason[reason]++;
@@ -262,9 +262,10 @@
 {
   struct jl_effect_run *run;
 
-  JL_INVARIANT (work->state == JL_WORK_WAITING, "a work item runs once");
+  JL_INVARIANT (work->state == JL_WORK_WAITING,
+                "a work item starts at most once");
   JL_INVARIANT (core->now_us < work->deadline_us,
-                "nothing runs past its deadline");
+                "no work item starts after its deadline");
   work->state = JL_WORK_RUNNING;
   work->started_us = core->now_us;
   work->target_started = core->target.started;
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -31,20 +31,20 @@
  * @value: the level, the smallest priority value that is refused
  * @lowest_refused: most important priority that was refused in this window
  * @step: maximum increase of the level after the next window without overload
- * @overloaded: number of consecutive overloaded windows
+ * @overloaded_windows: number of consecutive overloaded windows
  * @arrivals: number of arrivals in this window
  * @refusals: number of refusals in this window
  * @refused_permille: moving average of the share of arrivals that were refused
  * @arrived: arrivals in this window by priority
- * @demand: moving average of the arrivals per window by priority, in fixed
- * point
+ * @demand: fixed-point moving average of the arrivals per window by
+ *          priority
  */
 struct jl_level
 {
   uint32_t value;
   uint32_t lowest_refused;
   uint32_t step;
-  uint32_t overloaded;
+  uint32_t overloaded_windows;
   uint32_t arrivals;
   uint32_t refusals;
   uint32_t refused_permille;
@@ -119,9 +119,9 @@
     }
 }
 
-/* Returns the highest level at which the demand admitted fits @room. */
+/* Returns the highest level at which the demand admitted fits @capacity. */
 static uint32_t
-highest_level_within (const struct jl_level *level, uint64_t room)
+highest_level_within (const struct jl_level *level, uint64_t capacity)
 {
   uint64_t sum = 0;
   uint32_t fitting = 0;
@@ -129,7 +129,7 @@
   for (; fitting < JL_PRIORITY_COUNT; fitting++)
     {
       sum += level->demand[fitting];
-      if (sum > room)
+      if (sum > capacity)
         break;
     }
   return fitting;
@@ -167,15 +167,16 @@
 static void
 lower_level (struct jl_level *level, const struct jl_level_window *window)
 {
-  uint64_t room = UINT64_MAX;
+  uint64_t capacity = UINT64_MAX;
   uint32_t fitting;
 
   if (window->capacity_milli > 0)
-    room = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
-  if (++level->overloaded >= PERSISTENT_WINDOWS)
-    room = MIN (room, demand_below (level, level->value)
-                          * PERSISTENT_DEMAND_PERCENT / 100);
-  fitting = highest_level_within (level, room);
+    capacity
+        = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
+  if (++level->overloaded_windows >= PERSISTENT_WINDOWS)
+    capacity = MIN (capacity, demand_below (level, level->value)
+                                  * PERSISTENT_DEMAND_PERCENT / 100);
+  fitting = highest_level_within (level, capacity);
   fitting = MAX (fitting, min_level (level));
   level->value = MIN (level->value, fitting);
   level->step = STEP_MIN;
@@ -206,7 +207,7 @@
   level->refusals = 0;
   level->lowest_refused = JL_PRIORITY_COUNT;
   if (!window->overloaded)
-    level->overloaded = 0;
+    level->overloaded_windows = 0;
   if (window->overloaded)
     lower_level (level, window);
   else if (level->value < JL_PRIORITY_COUNT && !window->waiting)
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -121,15 +121,15 @@
 }
 
 static uint32_t
-slots_divided (uint32_t slots, uint32_t share)
+divide_slots (uint32_t slots, uint32_t divisor)
 {
-  return MIN (slots, MAX (slots / share, 1));
+  return MIN (slots, MAX (slots / divisor, 1));
 }
 
 static void
 update_cold_limit (struct jl_limit *limit, uint64_t now_us)
 {
-  uint32_t first = slots_divided (limit->slots, COLD_START_DIVISOR);
+  uint32_t first = divide_slots (limit->slots, COLD_START_DIVISOR);
   uint64_t age_us = now_us - limit->started_us;
 
   limit->cold_limit = limit->slots;
@@ -149,14 +149,14 @@
 jl_limit_set_slots (struct jl_limit *limit,
                     uint64_t now_us,
                     uint32_t slots,
-                    bool new_life,
+                    bool new_process,
                     uint64_t cold_start_us)
 {
   limit->slots = slots;
   limit->adaptive_limit = slots;
   limit->previous_rate = 0;
   begin_trial (limit);
-  if (new_life)
+  if (new_process)
     {
       limit->started_us = now_us;
       limit->cold_start_us = cold_start_us;
@@ -182,7 +182,7 @@
 }
 
 static void
-count_trial_request (struct jl_limit *limit)
+count_completion (struct jl_limit *limit)
 {
   struct trial *trial = &limit->trial;
 
@@ -198,21 +198,19 @@
 
 void
 jl_limit_done (struct jl_limit *limit,
-               uint64_t mean_hold_us,
-               uint64_t mean_latency_us,
+               uint64_t hold_us,
+               uint64_t latency_us,
                uint32_t running)
 {
-  limit->mean_hold_us
-      = update_mean (limit->mean_hold_us, MAX (mean_hold_us, 1));
-  count_trial_request (limit);
-  if (mean_latency_us == 0)
+  limit->mean_hold_us = update_mean (limit->mean_hold_us, MAX (hold_us, 1));
+  count_completion (limit);
+  if (latency_us == 0)
     return;
-  limit->mean_latency_us
-      = update_mean (limit->mean_latency_us, mean_latency_us);
-  if (running <= slots_divided (limit->slots, UNLOADED_DIVISOR))
+  limit->mean_latency_us = update_mean (limit->mean_latency_us, latency_us);
+  if (running <= divide_slots (limit->slots, UNLOADED_DIVISOR))
     {
       limit->baseline_latency_us
-          = update_mean (limit->baseline_latency_us, mean_latency_us);
+          = update_mean (limit->baseline_latency_us, latency_us);
       limit->baseline_count++;
     }
 }
@@ -221,7 +219,7 @@
 step_limit (struct jl_limit *limit, bool upward)
 {
   uint32_t size = MAX (limit->adaptive_limit * STEP_PERCENT / 100, 1);
-  uint32_t lowest = slots_divided (limit->slots, MIN_LIMIT_DIVISOR);
+  uint32_t lowest = divide_slots (limit->slots, MIN_LIMIT_DIVISOR);
 
   limit->upward = upward;
   if (upward)
@@ -262,16 +260,19 @@
     }
 }
 
-/* Steps on in the same direction if the throughput improved, else back. */
+/*
+ * Keeps the direction of the last step if the throughput did not fall too much
+ * after a step down, or grew enough after a step up; otherwise reverses it.
+ */
 static void
 evaluate_below_slots (struct jl_limit *limit, uint64_t rate)
 {
   uint32_t percent = limit->upward ? 100 + RATE_TOLERANCE_PERCENT
                                    : 100 - RATE_TOLERANCE_PERCENT;
-  bool improved = rate * 100 >= limit->previous_rate * percent;
+  bool keeps_direction = rate * 100 >= limit->previous_rate * percent;
 
   limit->previous_rate = rate;
-  step_limit (limit, improved ? limit->upward : !limit->upward);
+  step_limit (limit, keeps_direction ? limit->upward : !limit->upward);
 }
 
 static void
--- a/source/core/limit.h
+++ b/source/core/limit.h
@@ -21,13 +21,13 @@
 
 /**
  * jl_limit_set_slots - sets the number of slots that the target announced
- * @new_life: whether the target is a new process since the last announcement
+ * @new_process: whether the target is a new process since the last announcement
  * @cold_start_us: time over which the limit of a new process grows to @slots
  */
 void jl_limit_set_slots (struct jl_limit *limit,
                          uint64_t now_us,
                          uint32_t slots,
-                         bool new_life,
+                         bool new_process,
                          uint64_t cold_start_us);
 
 /**
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -227,21 +227,20 @@
 choose_candidate (struct jl_core *core)
 {
   const struct jl_place *place = core->place;
-  struct jl_member *same_zone;
-  struct jl_member *other_zones;
+  struct jl_member *local;
+  struct jl_member *remote;
   uint64_t load;
 
   if (place->same_zone->len == 0)
     return pick_less_loaded (core, place->other_zones);
-  same_zone = pick_less_loaded (core, place->same_zone);
-  load = estimate_load_permille (core, same_zone);
+  local = pick_less_loaded (core, place->same_zone);
+  load = estimate_load_permille (core, local);
   if (load < SPILL_LOAD_PERMILLE || place->other_zones->len == 0)
-    return same_zone;
-  other_zones = pick_less_loaded (core, place->other_zones);
-  return estimate_load_permille (core, other_zones) + SPILL_MARGIN_PERMILLE
-                 <= load
-             ? other_zones
-             : same_zone;
+    return local;
+  remote = pick_less_loaded (core, place->other_zones);
+  return estimate_load_permille (core, remote) + SPILL_MARGIN_PERMILLE <= load
+             ? remote
+             : local;
 }
 
 /* Returns the own member if it is a candidate and lightly loaded, else NULL. */
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -81,18 +81,17 @@
  * struct jl_poison - all strikes
  * @records: digest to struct record
  * @order: records ordered by @changed_us, oldest first
- * @has_blamed_life: whether a suspect request got the strike for the death of
- *                   the target process @blamed_life, so that no other request
- *                   gets one for it
- * @blamed_life: start time of that process
+ * @has_blamed_process: whether @blamed_started is set
+ * @blamed_started: start time of the last target process that died while a
+ *                  suspect request ran; only this request gets a strike for it
  * @answered: recently answered contents, indexed by digest
  */
 struct jl_poison
 {
   GHashTable *records;
   struct cds_list_head order;
-  bool has_blamed_life;
-  uint64_t blamed_life;
+  bool has_blamed_process;
+  uint64_t blamed_started;
   struct answered answered[ANSWERED_SLOTS];
   struct jl_timer expiry;
   struct jl_timer notify_timer;
@@ -356,12 +355,13 @@
 
   if (work->digest == 0 || core->options.mode != JL_CORE_FULL)
     return false;
-  if (poison->has_blamed_life && poison->blamed_life == work->target_started)
+  if (poison->has_blamed_process
+      && poison->blamed_started == work->target_started)
     return false;
   if (work->suspect)
     {
-      poison->has_blamed_life = true;
-      poison->blamed_life = work->target_started;
+      poison->has_blamed_process = true;
+      poison->blamed_started = work->target_started;
     }
   else if (jl_admit_suspects_running (core) > 0
            || was_answered (core, work->digest))
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -61,7 +61,7 @@
 check_pool (struct pool pool)
 {
   JL_INVARIANT (*pool.left + *pool.lent <= pool.initial,
-                "no retry tokens are made");
+                "the number of retry tokens never grows");
 }
 
 uint32_t
@@ -90,7 +90,8 @@
 {
   struct pool pool = token_pool (call);
 
-  JL_INVARIANT (*pool.lent >= call->lent, "only lent tokens come back");
+  JL_INVARIANT (*pool.lent >= call->lent,
+                "no more tokens are returned than were lent");
   *pool.lent -= call->lent;
   *pool.left += MIN (tokens, call->lent);
   call->lent = 0;
--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -1,6 +1,6 @@
 /**
- * DOC: A request that crashes each target that runs it, sent again by its
- * caller, beside requests that do no harm.
+ * DOC: Test of poison detection: a caller repeats a request that crashes every
+ * target that runs it, while harmless requests are served.
  */
 
 #include <criterion/criterion.h>
@@ -14,14 +14,14 @@
 #define SLOTS 20
 #define POISON_DIGEST 666
 #define POPULAR_DIGEST 5
-#define RESENDS 20
-#define RESEND_US (30 * JL_USEC_PER_MSEC)
-#define RUN_US (40 * JL_USEC_PER_MSEC)
-#define CRASH_AFTER_US (5 * JL_USEC_PER_MSEC)
-#define RESTART_US (400 * JL_USEC_PER_MSEC)
+#define RESEND_COUNT 20
+#define RESEND_DELAY_US (30 * JL_USEC_PER_MSEC)
+#define RUN_TIME_US (40 * JL_USEC_PER_MSEC)
+#define CRASH_DELAY_US (5 * JL_USEC_PER_MSEC)
+#define RESTART_DELAY_US (400 * JL_USEC_PER_MSEC)
 #define END_US (20 * JL_USEC_PER_SEC)
-/* Numbers of the calls: the poisonous ones come first. */
-#define FIRST_OTHER 1000
+/* Number of the first harmless call; lower numbers are poison requests. */
+#define FIRST_OTHER_CALL 1000
 
 static const char document[]
     = "{ \"classes\": [\"browse\"],"
@@ -34,60 +34,63 @@
       "     \"deadline_ms\": 1000, \"retry_tokens\": 2 }] }";
 
 /**
- * struct world - the daemons, and what happened
- * @lives: how often each target was started
- * @resends: how often the poisonous request was sent
- * @crashes: targets that died
- * @others_done: other requests that were done
- * @others_barred: other requests refused because of strikes
+ * struct simulation - the simulated daemons and the results
+ * @start_count: number of starts of each target
+ * @down_until_us: time at which each crashed target is up again
+ * @poison_sends: number of times the poison request was sent
+ * @crashes: number of crashes of targets
+ * @others_done: number of harmless requests that were answered
+ * @others_refused: number of harmless requests refused as poison
  */
-struct world
+struct simulation
 {
   struct jl_site site;
-  uint64_t lives[NODE_COUNT];
+  uint64_t start_count[NODE_COUNT];
   uint64_t down_until_us[NODE_COUNT];
-  uint32_t resends;
+  uint32_t poison_sends;
   uint32_t crashes;
   uint32_t others_done;
-  uint32_t others_barred;
+  uint32_t others_refused;
 };
 
 static void
-crash (struct world *world, uint32_t node)
+crash_target (struct simulation *simulation, uint32_t node)
 {
-  uint64_t back_us = world->site.now_us + CRASH_AFTER_US + RESTART_US;
+  uint64_t restarted_us
+      = simulation->site.now_us + CRASH_DELAY_US + RESTART_DELAY_US;
 
-  if (world->down_until_us[node] > world->site.now_us)
+  if (simulation->down_until_us[node] > simulation->site.now_us)
     return;
-  world->crashes++;
-  world->down_until_us[node] = back_us;
-  jl_site_crash (&world->site, node, CRASH_AFTER_US);
-  jl_site_announce (&world->site, node, "front", SLOTS, ++world->lives[node],
-                    back_us, END_US);
+  simulation->crashes++;
+  simulation->down_until_us[node] = restarted_us;
+  jl_site_crash (&simulation->site, node, CRASH_DELAY_US);
+  jl_site_announce (&simulation->site, node, "front", SLOTS,
+                    ++simulation->start_count[node], restarted_us, END_US);
 }
 
 static void
 handle_run (struct jl_site *site, const struct jl_site_work *work)
 {
-  struct world *world = site->context;
+  struct simulation *simulation = site->context;
 
-  if (world->down_until_us[work->node] > site->now_us)
+  if (simulation->down_until_us[work->node] > site->now_us)
     jl_site_end (site, work->number, JL_RUN_NOT_SENT, 0, 0);
   else if (work->digest == POISON_DIGEST)
-    crash (world, work->node);
+    crash_target (simulation, work->node);
   else
-    jl_site_end (site, work->number, JL_RUN_ANSWERED, 200, RUN_US);
+    jl_site_end (site, work->number, JL_RUN_ANSWERED, 200, RUN_TIME_US);
 }
 
 static void
-send_poison (struct world *world, uint64_t at_us)
+send_poison (struct simulation *simulation, uint64_t at_us)
 {
   struct jl_event event = { .type = JL_EVENT_CALL };
 
-  event.call.call = ++world->resends;
+  event.call.call = ++simulation->poison_sends;
   event.call.config_version = 1;
   event.call.digest = POISON_DIGEST;
-  jl_site_schedule (&world->site, world->resends % ENTRY_COUNT, &event, at_us);
+  jl_site_schedule (&simulation->site, simulation->poison_sends % ENTRY_COUNT,
+                    &event, at_us);
 }
 
 static void
@@ -96,60 +99,69 @@
                const struct jl_effect_answer *answer,
                uint32_t status)
 {
-  struct world *world = site->context;
+  struct simulation *simulation = site->context;
 
-  if (answer->call < FIRST_OTHER)
+  if (answer->call < FIRST_OTHER_CALL)
     {
-      if (world->resends < RESENDS)
-        send_poison (world, site->now_us + RESEND_US);
+      if (simulation->poison_sends < RESEND_COUNT)
+        send_poison (simulation, site->now_us + RESEND_DELAY_US);
       return;
     }
-  world->others_done += status == 200;
-  world->others_barred += answer->reason == JL_REASON_POISON;
+  simulation->others_done += status == 200;
+  simulation->others_refused += answer->reason == JL_REASON_POISON;
 }
 
-/* Requests with contents of their own, and a popular one, at every entry. */
+/*
+ * Schedules harmless requests at all entries. Every third has the same content,
+ * all others have unique contents.
+ */
 static void
-plan_others (struct world *world, uint64_t from_us, uint64_t end_us)
+schedule_others (struct simulation *simulation,
+                 uint64_t from_us,
+                 uint64_t end_us)
 {
   struct jl_event event = { .type = JL_EVENT_CALL };
-  uint64_t number = FIRST_OTHER;
+  uint64_t number = FIRST_OTHER_CALL;
 
   event.call.config_version = 1;
   for (uint64_t at_us = from_us; at_us < end_us; at_us += 2000)
     {
       event.call.call = ++number;
       event.call.digest = number % 3 == 0 ? POPULAR_DIGEST : number;
-      jl_site_schedule (&world->site, number % ENTRY_COUNT, &event, at_us);
+      jl_site_schedule (&simulation->site, number % ENTRY_COUNT, &event, at_us);
     }
 }
 
 static void
-open_world (struct world *world)
+open_simulation (struct simulation *simulation)
 {
   const struct jl_site_hooks hooks = { handle_run, handle_answer };
 
-  memset (world, 0, sizeof *world);
-  jl_site_open (&world->site, NODE_COUNT, document, hooks, world);
+  memset (simulation, 0, sizeof *simulation);
+  jl_site_open (&simulation->site, NODE_COUNT, document, hooks, simulation);
   for (uint32_t node = ENTRY_COUNT; node < NODE_COUNT; node++)
-    jl_site_announce (&world->site, node, "front", SLOTS, ++world->lives[node],
-                      0, END_US);
+    jl_site_announce (&simulation->site, node, "front", SLOTS,
+                      ++simulation->start_count[node], 0, END_US);
 }
 
-/* One request, sent twenty times through all entries, kills two targets. */
+/*
+ * A poison request sent 20 times through all entries crashes exactly two
+ * targets, and no harmless request is refused because of it.
+ */
 Test (crashing, kills_at_most_two_targets)
 {
-  struct world world;
-
-  open_world (&world);
-  plan_others (&world, 2 * JL_USEC_PER_SEC, 8 * JL_USEC_PER_SEC);
-  jl_site_run_until (&world.site, 3 * JL_USEC_PER_SEC);
-  send_poison (&world, 3 * JL_USEC_PER_SEC);
-  jl_site_run_until (&world.site, 10 * JL_USEC_PER_SEC);
-  cr_log_info ("resends %u crashes %u others done %u barred %u", world.resends,
-               world.crashes, world.others_done, world.others_barred);
-  cr_expect_eq (world.resends, RESENDS);
-  cr_expect_eq (world.crashes, 2);
-  cr_expect_eq (world.others_barred, 0);
-  jl_site_close (&world.site);
+  struct simulation simulation;
+
+  open_simulation (&simulation);
+  schedule_others (&simulation, 2 * JL_USEC_PER_SEC, 8 * JL_USEC_PER_SEC);
+  jl_site_run_until (&simulation.site, 3 * JL_USEC_PER_SEC);
+  send_poison (&simulation, 3 * JL_USEC_PER_SEC);
+  jl_site_run_until (&simulation.site, 10 * JL_USEC_PER_SEC);
+  cr_log_info ("resends %u crashes %u others done %u barred %u",
+               simulation.poison_sends, simulation.crashes,
+               simulation.others_done, simulation.others_refused);
+  cr_expect_eq (simulation.poison_sends, RESEND_COUNT);
+  cr_expect_eq (simulation.crashes, 2);
+  cr_expect_eq (simulation.others_refused, 0);
+  jl_site_close (&simulation.site);
 }
--- a/tests/unit/feedback.c
+++ b/tests/unit/feedback.c
@@ -1,8 +1,9 @@
 /**
- * DOC: Entry and guards together: what the levels do to the traffic that they
- * hold back. An entry, the guard of a front service, and the guard of a deep
- * service that the front may call. Targets are a count of slots and a service
- * time.
+ * DOC: Tests of the feedback between entries and guards under overload.
+ *
+ * Simulates entries, the guard of a front service, and the guard of a deep
+ * service that the front may call. A target is modelled by its number of slots
+ * and its run time.
  */
 
 #include <criterion/criterion.h>
@@ -12,11 +13,11 @@
 #include "../support/site.h"
 
 #define DEEP_SLOTS 4
-/* Statuses of answers that are whole, and of those that failed further down. */
-#define STATUS_OK 200
-#define STATUS_FAILED 503
+/* HTTP status of complete answers, and of those whose deep call failed. */
+#define HTTP_OK 200
+#define HTTP_UNAVAILABLE 503
 #define CLASS_COUNT 3
-#define CALLER_COUNT 3
+#define SOURCE_COUNT 3
 
 static const char document[]
     = "{ \"classes\": [\"reserve\", \"browse\", \"upload\"],"
@@ -41,35 +42,37 @@
 
 #define DEEP_KIND 3
 
-/* Daemons that only take calls. */
+/* Number of daemons that only act as entries. */
 #define ENTRY_COUNT 12
 
 /**
- * enum place - the daemons; entries from FIRST_ENTRY on
+ * enum node - index of each daemon; entries start at FIRST_ENTRY
  */
-enum place
+enum node
 {
   FRONT,
   DEEP,
   FIRST_ENTRY,
-  PLACE_COUNT = FIRST_ENTRY + ENTRY_COUNT,
+  NODE_COUNT = FIRST_ENTRY + ENTRY_COUNT,
 };
 
 /**
- * struct caller - calls of one kind at regular times
+ * struct call_source - calls of one kind at regular intervals
  */
-struct caller
+struct call_source
 {
   uint32_t kind;
-  uint64_t every_us;
+  uint64_t interval_us;
   uint64_t from_us;
   uint64_t until_us;
 };
 
 /**
- * struct counts - answers to the calls of one class
- * @done: whole requests
- * @wasted: ran, and failed further down
+ * struct counts - results of the calls of one class
+ * @done: answered completely
+ * @wasted: ran at the front, but failed because of the deep service
+ * @refused: refused without running
+ * @other: all other results
  */
 struct counts
 {
@@ -80,26 +83,26 @@
 };
 
 /**
- * struct world - the daemons, their targets and the callers
- * @kinds: kind of each call by number
- * @slots: slots of the front
- * @service_us: how long a run takes at the target of each daemon
- * @random: spreads the times of the front's runs, exponentially; may be NULL
- * @entries: how many entries get calls, in turn
- * @calls_deep: the front makes a call to the deep service in each run
- * @knee: requests in progress above which the front's runs take longer, all
- *        together longer than one after the other; 0 for none
+ * struct simulation - the simulated daemons and targets, and the results
+ * @kinds: kind of each call by its number
+ * @slots: number of slots of the front
+ * @run_time_us: run time at the target of each daemon
+ * @random: if not NULL, run times at the front are exponentially distributed
+ * @entries: number of entries that get calls, in turn
+ * @calls_deep: whether each run at the front calls the deep service
+ * @knee_running: requests in progress above which the throughput of the front
+ *                falls; 0 for none
  */
-struct world
+struct simulation
 {
   struct jl_site site;
   GArray *kinds;
   uint32_t slots;
-  uint64_t service_us[PLACE_COUNT];
+  uint64_t run_time_us[NODE_COUNT];
   GRand *random;
   uint32_t entries;
   bool calls_deep;
-  uint32_t knee;
+  uint32_t knee_running;
   struct counts counts[CLASS_COUNT];
 };
 
@@ -120,39 +123,41 @@
   return count;
 }
 
-/* How long a run takes beside those in progress. */
+/* Returns the run time of a request, given the requests in progress. */
 static uint64_t
-choose_service (struct jl_site *site, uint32_t node)
+choose_run_time (struct jl_site *site, uint32_t node)
 {
-  const struct world *world = site->context;
-  uint64_t service_us = world->service_us[node];
+  const struct simulation *simulation = site->context;
+  uint64_t run_time_us = simulation->run_time_us[node];
   uint64_t running = count_running (site, node);
 
-  if (node == FRONT && world->random != NULL)
-    return (uint64_t)(-log (1 - g_rand_double (world->random))
-                      * (double)service_us);
-  if (node == DEEP || world->knee == 0 || running <= world->knee)
-    return service_us;
-  return service_us * running * running / world->knee / world->knee;
+  if (node == FRONT && simulation->random != NULL)
+    return (uint64_t)(-log (1 - g_rand_double (simulation->random))
+                      * (double)run_time_us);
+  if (node == DEEP || simulation->knee_running == 0
+      || running <= simulation->knee_running)
+    return run_time_us;
+  return run_time_us * running * running / simulation->knee_running
+         / simulation->knee_running;
 }
 
 static void
 handle_run (struct jl_site *site, const struct jl_site_work *work)
 {
-  const struct world *world = site->context;
-  uint64_t service_us = choose_service (site, work->node);
+  const struct simulation *simulation = site->context;
+  uint64_t run_time_us = choose_run_time (site, work->node);
   struct jl_event call = { .type = JL_EVENT_CALL };
 
-  if (work->node == DEEP || !world->calls_deep)
+  if (work->node == DEEP || !simulation->calls_deep)
     {
-      jl_site_end (site, work->number, JL_RUN_ANSWERED, STATUS_OK, service_us);
+      jl_site_end (site, work->number, JL_RUN_ANSWERED, HTTP_OK, run_time_us);
       return;
     }
   call.call.call = work->number;
   call.call.kind = DEEP_KIND;
   call.call.config_version = 1;
   call.call.parent = work->number;
-  jl_site_schedule (site, FRONT, &call, site->now_us + service_us);
+  jl_site_schedule (site, FRONT, &call, site->now_us + run_time_us);
 }
 
 static void
@@ -161,17 +166,18 @@
                const struct jl_effect_answer *answer,
                uint32_t status)
 {
-  struct world *world = site->context;
+  struct simulation *simulation = site->context;
   struct counts *counts;
 
   if (node == FRONT)
     {
       jl_site_end (site, answer->call, JL_RUN_ANSWERED,
-                   status == STATUS_OK ? STATUS_OK : STATUS_FAILED, 0);
+                   status == HTTP_OK ? HTTP_OK : HTTP_UNAVAILABLE, 0);
       return;
     }
-  counts = &world->counts[g_array_index (world->kinds, uint32_t, answer->call)];
-  if (status == STATUS_OK)
+  counts = &simulation->counts[g_array_index (simulation->kinds, uint32_t,
+                                              answer->call)];
+  if (status == HTTP_OK)
     counts->done++;
   else if (answer->outcome == JL_OUTCOME_DONE)
     counts->wasted++;
@@ -182,244 +188,262 @@
 }
 
 static void
-open_world (struct world *world)
+open_simulation (struct simulation *simulation)
 {
   const struct jl_site_hooks hooks = { handle_run, handle_answer };
 
-  memset (world, 0, sizeof *world);
-  world->kinds = g_array_new (FALSE, TRUE, sizeof (uint32_t));
-  g_array_set_size (world->kinds, 1);
-  world->entries = 1;
-  world->slots = 10;
-  world->service_us[FRONT] = 20 * JL_USEC_PER_MSEC;
-  world->service_us[DEEP] = 20 * JL_USEC_PER_MSEC;
-  jl_site_open (&world->site, PLACE_COUNT, document, hooks, world);
+  memset (simulation, 0, sizeof *simulation);
+  simulation->kinds = g_array_new (FALSE, TRUE, sizeof (uint32_t));
+  g_array_set_size (simulation->kinds, 1);
+  simulation->entries = 1;
+  simulation->slots = 10;
+  simulation->run_time_us[FRONT] = 20 * JL_USEC_PER_MSEC;
+  simulation->run_time_us[DEEP] = 20 * JL_USEC_PER_MSEC;
+  jl_site_open (&simulation->site, NODE_COUNT, document, hooks, simulation);
 }
 
 static void
-close_world (struct world *world)
+close_simulation (struct simulation *simulation)
 {
-  jl_site_close (&world->site);
-  g_array_free (world->kinds, TRUE);
+  jl_site_close (&simulation->site);
+  g_array_free (simulation->kinds, TRUE);
 }
 
-/* Announces the targets, and makes the calls. */
+/* Schedules the announcements of the targets and all calls. */
 static void
-plan (struct world *world,
-      const struct caller *callers,
-      uint32_t count,
-      uint64_t end_us)
+schedule_calls (struct simulation *simulation,
+                const struct call_source *sources,
+                uint32_t count,
+                uint64_t end_us)
 {
   struct jl_event call = { .type = JL_EVENT_CALL };
 
-  jl_site_announce (&world->site, FRONT, "front", world->slots, 1, 0, end_us);
-  jl_site_announce (&world->site, DEEP, "deep", DEEP_SLOTS, 1, 0, end_us);
+  jl_site_announce (&simulation->site, FRONT, "front", simulation->slots, 1, 0,
+                    end_us);
+  jl_site_announce (&simulation->site, DEEP, "deep", DEEP_SLOTS, 1, 0, end_us);
   for (uint32_t i = 0; i < count; i++)
-    for (uint64_t at_us = callers[i].from_us; at_us < callers[i].until_us;
-         at_us += callers[i].every_us)
+    for (uint64_t at_us = sources[i].from_us; at_us < sources[i].until_us;
+         at_us += sources[i].interval_us)
       {
-        call.call.call = world->kinds->len;
-        call.call.kind = callers[i].kind;
+        call.call.call = simulation->kinds->len;
+        call.call.kind = sources[i].kind;
         call.call.config_version = 1;
-        g_array_append_val (world->kinds, callers[i].kind);
-        jl_site_schedule (&world->site,
-                          FIRST_ENTRY + call.call.call % world->entries, &call,
-                          at_us);
+        g_array_append_val (simulation->kinds, sources[i].kind);
+        jl_site_schedule (&simulation->site,
+                          FIRST_ENTRY + call.call.call % simulation->entries,
+                          &call, at_us);
       }
 }
 
 static void
-run_until (struct world *world, uint64_t end_us)
+run_until (struct simulation *simulation, uint64_t end_us)
 {
-  jl_site_run_until (&world->site, end_us);
+  jl_site_run_until (&simulation->site, end_us);
 }
 
-/* Goes on to @end_us and returns the answers since the last time. */
+/* Runs until @end_us and stores the results since the previous run. */
 static void
-take_counts (struct world *world, uint64_t end_us, struct counts *counts)
+take_counts (struct simulation *simulation,
+             uint64_t end_us,
+             struct counts *counts)
 {
-  memset (world->counts, 0, sizeof world->counts);
-  run_until (world, end_us);
-  memcpy (counts, world->counts, sizeof world->counts);
+  memset (simulation->counts, 0, sizeof simulation->counts);
+  run_until (simulation, end_us);
+  memcpy (counts, simulation->counts, sizeof simulation->counts);
   for (int i = 0; i < CLASS_COUNT; i++)
     cr_log_info ("until %u ms class %d: done %u wasted %u refused %u other %u",
                  (unsigned)(end_us / JL_USEC_PER_MSEC), i, counts[i].done,
                  counts[i].wasted, counts[i].refused, counts[i].other);
 }
 
-/* 500 runs a second fit; 250 of the upper classes and 900 uploads arrive. */
+/*
+ * The front has a capacity of 500 requests per second. 250 per second arrive in
+ * the upper two classes and 900 in the lowest.
+ */
 Test (feedback, upper_classes_are_done_and_the_slots_stay_full)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[CALLER_COUNT] = {
+  const struct call_source sources[SOURCE_COUNT] = {
     { 0, 10000, 2 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
     { 1, 6666, 2 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
     { 2, 1111, 4 * JL_USEC_PER_SEC, 10 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  plan (&world, callers, CALLER_COUNT, 16 * JL_USEC_PER_SEC);
-  run_until (&world, 4 * JL_USEC_PER_SEC);
+  open_simulation (&simulation);
+  schedule_calls (&simulation, sources, SOURCE_COUNT, 16 * JL_USEC_PER_SEC);
+  run_until (&simulation, 4 * JL_USEC_PER_SEC);
   for (uint64_t second = 5; second <= 10; second++)
     {
-      take_counts (&world, second * JL_USEC_PER_SEC, counts);
+      take_counts (&simulation, second * JL_USEC_PER_SEC, counts);
       cr_expect_eq (counts[0].refused + counts[0].other, 0);
       cr_expect_eq (counts[1].refused + counts[1].other, 0);
       cr_expect_geq (counts[0].done + counts[1].done + counts[2].done, 450);
     }
-  take_counts (&world, 12 * JL_USEC_PER_SEC, counts);
-  take_counts (&world, 13 * JL_USEC_PER_SEC, counts);
+  take_counts (&simulation, 12 * JL_USEC_PER_SEC, counts);
+  take_counts (&simulation, 13 * JL_USEC_PER_SEC, counts);
   cr_expect_geq (counts[0].done + counts[1].done, 248);
-  close_world (&world);
+  close_simulation (&simulation);
 }
 
-/* After a surge of 4 times the capacity a trickle of uploads is let in again.
+/*
+ * After a surge of uploads at 4 times the capacity, 200 uploads per second are
+ * admitted again.
  */
 Test (feedback, the_lowest_class_is_back_within_two_seconds)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[] = {
+  const struct call_source sources[] = {
     { 0, 10000, 2 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
     { 2, 500, 4 * JL_USEC_PER_SEC, 8 * JL_USEC_PER_SEC },
     { 2, 5000, 8 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  plan (&world, callers, G_N_ELEMENTS (callers), 16 * JL_USEC_PER_SEC);
-  run_until (&world, 8 * JL_USEC_PER_SEC);
-  take_counts (&world, 10 * JL_USEC_PER_SEC, counts);
-  take_counts (&world, 12 * JL_USEC_PER_SEC, counts);
+  open_simulation (&simulation);
+  schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
+                  16 * JL_USEC_PER_SEC);
+  run_until (&simulation, 8 * JL_USEC_PER_SEC);
+  take_counts (&simulation, 10 * JL_USEC_PER_SEC, counts);
+  take_counts (&simulation, 12 * JL_USEC_PER_SEC, counts);
   cr_expect_eq (counts[2].refused, 0);
   cr_expect_geq (counts[2].done, 395);
-  close_world (&world);
+  close_simulation (&simulation);
 }
 
-/* The target slows down to a fifth while demand stays. */
+/*
+ * The capacity of the target drops to a fifth for a while; the demand stays the
+ * same.
+ */
 Test (feedback, a_slow_target_keeps_the_upper_class)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[] = {
+  const struct call_source sources[] = {
     { 0, 20000, 2 * JL_USEC_PER_SEC, 20 * JL_USEC_PER_SEC },
     { 2, 3000, 2 * JL_USEC_PER_SEC, 20 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  plan (&world, callers, G_N_ELEMENTS (callers), 20 * JL_USEC_PER_SEC);
-  run_until (&world, 4 * JL_USEC_PER_SEC);
-  world.service_us[FRONT] = 100 * JL_USEC_PER_MSEC;
-  take_counts (&world, 5 * JL_USEC_PER_SEC, counts);
+  open_simulation (&simulation);
+  schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
+                  20 * JL_USEC_PER_SEC);
+  run_until (&simulation, 4 * JL_USEC_PER_SEC);
+  simulation.run_time_us[FRONT] = 100 * JL_USEC_PER_MSEC;
+  take_counts (&simulation, 5 * JL_USEC_PER_SEC, counts);
   for (uint64_t second = 6; second <= 10; second++)
     {
-      take_counts (&world, second * JL_USEC_PER_SEC, counts);
+      take_counts (&simulation, second * JL_USEC_PER_SEC, counts);
       cr_expect_eq (counts[0].refused + counts[0].other, 0);
       cr_expect_geq (counts[0].done + counts[2].done, 90);
     }
-  world.service_us[FRONT] = 20 * JL_USEC_PER_MSEC;
-  run_until (&world, 12 * JL_USEC_PER_SEC);
-  take_counts (&world, 14 * JL_USEC_PER_SEC, counts);
+  simulation.run_time_us[FRONT] = 20 * JL_USEC_PER_MSEC;
+  run_until (&simulation, 12 * JL_USEC_PER_SEC);
+  take_counts (&simulation, 14 * JL_USEC_PER_SEC, counts);
   cr_expect_eq (counts[2].refused, 0);
   cr_expect_geq (counts[2].done, 660);
-  close_world (&world);
+  close_simulation (&simulation);
 }
 
 /*
- * The deep service takes 200 calls a second, the front 1,000. Of the upper
- * class 50 a second arrive, of the lowest 400.
+ * The deep service has a capacity of 200 calls per second and the front of
+ * 1,000. 50 per second arrive in the upper class and 400 in the lowest. Calls
+ * that the deep service would refuse have to be refused before they run at the
+ * front.
  */
 static void
-expect_refused_early (uint32_t entries)
+expect_early_refusals (uint32_t entries)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[] = {
+  const struct call_source sources[] = {
     { 0, 20000, 2 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
     { 2, 2500, 4 * JL_USEC_PER_SEC, 10 * JL_USEC_PER_SEC },
     { 2, 10000, 10 * JL_USEC_PER_SEC, 16 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  world.entries = entries;
-  world.calls_deep = true;
-  world.service_us[FRONT] = 5 * JL_USEC_PER_MSEC;
-  plan (&world, callers, G_N_ELEMENTS (callers), 16 * JL_USEC_PER_SEC);
-  run_until (&world, 4 * JL_USEC_PER_SEC);
-  take_counts (&world, 5 * JL_USEC_PER_SEC, counts);
+  open_simulation (&simulation);
+  simulation.entries = entries;
+  simulation.calls_deep = true;
+  simulation.run_time_us[FRONT] = 5 * JL_USEC_PER_MSEC;
+  schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
+                  16 * JL_USEC_PER_SEC);
+  run_until (&simulation, 4 * JL_USEC_PER_SEC);
+  take_counts (&simulation, 5 * JL_USEC_PER_SEC, counts);
   for (uint64_t second = 6; second <= 10; second++)
     {
-      take_counts (&world, second * JL_USEC_PER_SEC, counts);
+      take_counts (&simulation, second * JL_USEC_PER_SEC, counts);
       cr_expect_eq (counts[0].wasted + counts[0].refused + counts[0].other, 0);
       cr_expect_geq (counts[0].done + counts[2].done, 180);
       cr_expect_leq (counts[2].wasted, 30);
     }
-  run_until (&world, 12 * JL_USEC_PER_SEC);
-  take_counts (&world, 14 * JL_USEC_PER_SEC, counts);
+  run_until (&simulation, 12 * JL_USEC_PER_SEC);
+  take_counts (&simulation, 14 * JL_USEC_PER_SEC, counts);
   cr_expect_eq (counts[2].wasted + counts[2].refused, 0);
   cr_expect_geq (counts[2].done, 195);
-  close_world (&world);
+  close_simulation (&simulation);
 }
 
 Test (feedback, what_the_deep_service_refuses_does_not_run_at_the_front)
 {
-  expect_refused_early (1);
+  expect_early_refusals (1);
 }
 
 Test (feedback, many_entries_learn_what_the_deep_service_refuses)
 {
-  expect_refused_early (ENTRY_COUNT);
+  expect_early_refusals (ENTRY_COUNT);
 }
 
 /*
- * With its ten slots in use the target takes 125 requests a second, with five
- * of them 250.
+ * The target serves 125 requests per second with ten in progress, and 250 per
+ * second with five. The limit has to go down for it to do so.
  */
 Test (feedback, a_target_that_thrashes_gets_fewer_at_a_time)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[] = {
+  const struct call_source sources[] = {
     { 0, 20000, 2 * JL_USEC_PER_SEC, 20 * JL_USEC_PER_SEC },
     { 2, 2000, 4 * JL_USEC_PER_SEC, 20 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  world.knee = 5;
-  plan (&world, callers, G_N_ELEMENTS (callers), 20 * JL_USEC_PER_SEC);
-  run_until (&world, 4 * JL_USEC_PER_SEC);
+  open_simulation (&simulation);
+  simulation.knee_running = 5;
+  schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
+                  20 * JL_USEC_PER_SEC);
+  run_until (&simulation, 4 * JL_USEC_PER_SEC);
   for (uint64_t second = 5; second <= 19; second++)
     {
-      take_counts (&world, second * JL_USEC_PER_SEC, counts);
+      take_counts (&simulation, second * JL_USEC_PER_SEC, counts);
       cr_expect_eq (counts[0].refused + counts[0].other, 0);
       if (second > 10)
         cr_expect_geq (counts[0].done + counts[2].done, 190);
     }
-  close_world (&world);
+  close_simulation (&simulation);
 }
 
 /*
- * Four slots and exponential run times: 200 a second fit. Of the upper two
- * classes 187 arrive, of the lowest 213.
+ * Four slots with exponentially distributed run times serve 200 requests per
+ * second. 187 per second arrive in the upper two classes and 213 in the lowest.
  */
 Test (feedback, few_slots_with_widely_spread_runs_stay_in_use)
 {
-  struct world world;
+  struct simulation simulation;
   struct counts counts[CLASS_COUNT];
-  const struct caller callers[] = {
+  const struct call_source sources[] = {
     { 0, 18700, 2 * JL_USEC_PER_SEC, 30 * JL_USEC_PER_SEC },
     { 1, 7500, 2 * JL_USEC_PER_SEC, 30 * JL_USEC_PER_SEC },
     { 2, 4700, 2 * JL_USEC_PER_SEC, 30 * JL_USEC_PER_SEC },
   };
 
-  open_world (&world);
-  world.slots = 4;
-  world.random = g_rand_new_with_seed (1);
-  plan (&world, callers, G_N_ELEMENTS (callers), 30 * JL_USEC_PER_SEC);
-  run_until (&world, 5 * JL_USEC_PER_SEC);
-  take_counts (&world, 25 * JL_USEC_PER_SEC, counts);
+  open_simulation (&simulation);
+  simulation.slots = 4;
+  simulation.random = g_rand_new_with_seed (1);
+  schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
+                  30 * JL_USEC_PER_SEC);
+  run_until (&simulation, 5 * JL_USEC_PER_SEC);
+  take_counts (&simulation, 25 * JL_USEC_PER_SEC, counts);
   cr_expect_eq (counts[0].refused + counts[0].other, 0);
   cr_expect_geq (counts[0].done + counts[1].done + counts[2].done, 3700);
-  g_rand_free (world.random);
-  close_world (&world);
+  g_rand_free (simulation.random);
+  close_simulation (&simulation);
 }
--- a/tests/unit/place.c
+++ b/tests/unit/place.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Placement at the size of 470 daemons: which targets an entry uses.
+ * DOC: Tests of placement in a site of 470 daemons: which targets an entry
+ * uses.
  */
 
 #include <criterion/criterion.h>
@@ -7,12 +8,12 @@
 
 #include "jackdawladder/core.h"
 
-#define DAEMONS 470
-#define TARGETS 16
-#define ZONES 7
-#define SLOTS 10
-#define CONNECTIONS 170
-#define CALLS 40
+#define DAEMON_COUNT 470
+#define TARGET_COUNT 16
+#define ZONE_COUNT 7
+#define SLOTS_PER_TARGET 10
+#define CONNECTIONS_PER_TARGET 170
+#define CALL_COUNT 40
 
 static const char document[]
     = "{ \"classes\": [\"browse\"],"
@@ -26,15 +27,15 @@
       "     \"deadline_ms\": 1000, \"retry_tokens\": 2 }] }";
 
 /**
- * struct entry - one daemon that makes calls
- * @used: which targets it has used
+ * struct entry - a daemon whose entry makes calls
+ * @used: whether the entry has sent a call to each target, by number
  */
 struct entry
 {
   struct jl_core *core;
   struct jl_effects *effects;
   uint64_t now_us;
-  bool used[TARGETS + 1];
+  bool used[TARGET_COUNT + 1];
 };
 
 static struct jl_identity
@@ -47,7 +48,7 @@
 }
 
 static void
-name_zone (char *zone, uint32_t number, uint32_t zones)
+format_zone (char *zone, uint32_t number, uint32_t zones)
 {
   g_snprintf (zone, JL_NAME_SIZE, "zone-%u", number % zones);
 }
@@ -61,9 +62,12 @@
   jl_core_step (entry->core, event, entry->effects);
 }
 
-/* Targets are numbered from 1; all other daemons serve something else. */
+/*
+ * Makes a member known to the entry. Daemons 1 to TARGET_COUNT have a target of
+ * the service "front", all others of the service "other".
+ */
 static void
-add_member (struct entry *entry, uint32_t number, uint32_t zones)
+announce_member (struct entry *entry, uint32_t number, uint32_t zones)
 {
   struct jl_message message = { .type = JL_MESSAGE_SYNC };
   struct jl_event event = { .type = JL_EVENT_MESSAGE };
@@ -72,11 +76,11 @@
   info->identity = identity_of (number);
   info->incarnation = 1;
   info->peer = jl_member_endpoint (info->identity.member);
-  info->slots = SLOTS;
-  info->connections = CONNECTIONS;
+  info->slots = SLOTS_PER_TARGET;
+  info->connections = CONNECTIONS_PER_TARGET;
   info->target_up = true;
-  name_zone (info->zone, number, zones);
-  g_strlcpy (info->service, number <= TARGETS ? "front" : "other",
+  format_zone (info->zone, number, zones);
+  g_strlcpy (info->service, number <= TARGET_COUNT ? "front" : "other",
              JL_NAME_SIZE);
   message.from = info->identity;
   message.update_count = 1;
@@ -95,13 +99,13 @@
   struct jl_event event = { .type = JL_EVENT_CONFIG, .config = config };
 
   memset (entry, 0, sizeof *entry);
-  name_zone (options.zone, number, zones);
+  format_zone (options.zone, number, zones);
   options.seed = number;
   entry->core = jl_core_new (&options);
   entry->effects = jl_effects_new ();
   step (entry, &event);
   for (uint32_t member = 1; member <= members; member++)
-    add_member (entry, member, zones);
+    announce_member (entry, member, zones);
 }
 
 static void
@@ -112,14 +116,21 @@
 }
 
 static uint32_t
-number_of (uint64_t member)
+member_number (uint64_t member)
 {
   return jl_member_endpoint (member).ip & 0xffff;
 }
 
-/* A call and its answer. Return: the target that got it, 0 for none. */
+/*
+ * Makes a call and, if @answer is true, answers it with @load_permille.
+ *
+ * Return: number of the target that the call was sent to; 0 for none.
+ */
 static uint32_t
-make_call (struct entry *entry, uint64_t number, uint32_t load, bool answer)
+make_call (struct entry *entry,
+           uint64_t number,
+           uint32_t load_permille,
+           bool answer)
 {
   struct jl_event call = { .type = JL_EVENT_CALL };
   struct jl_event result = { .type = JL_EVENT_CALL_RESULT };
@@ -134,13 +145,13 @@
 
       if (effect->type != JL_EFFECT_SEND)
         continue;
-      target = number_of (effect->send.member);
+      target = member_number (effect->send.member);
       result.call_result.attempt = effect->send.attempt;
     }
   if (target == 0 || !answer)
     return target;
   result.call_result.call = number;
-  result.call_result.report.load_permille = load;
+  result.call_result.report.load_permille = load_permille;
   step (entry, &result);
   return target;
 }
@@ -155,70 +166,71 @@
   return config;
 }
 
-/* All entries together keep below the connections of each target. */
+/* No target gets more connections from all entries than it accepts. */
 Test (place, subsets_fit_the_connections)
 {
   struct jl_config *config = open_config ();
-  uint32_t entries[TARGETS + 1] = { 0 };
+  uint32_t entries[TARGET_COUNT + 1] = { 0 };
 
-  for (uint32_t number = TARGETS + 1; number <= DAEMONS; number++)
+  for (uint32_t number = TARGET_COUNT + 1; number <= DAEMON_COUNT; number++)
     {
       struct entry entry;
 
-      open_entry (&entry, config, number, DAEMONS, 1);
-      for (uint64_t i = 1; i <= CALLS; i++)
+      open_entry (&entry, config, number, DAEMON_COUNT, 1);
+      for (uint64_t i = 1; i <= CALL_COUNT; i++)
         entry.used[make_call (&entry, i, 0, true)] = true;
-      for (uint32_t target = 1; target <= TARGETS; target++)
+      for (uint32_t target = 1; target <= TARGET_COUNT; target++)
         entries[target] += entry.used[target];
       close_entry (&entry);
     }
-  for (uint32_t target = 1; target <= TARGETS; target++)
+  for (uint32_t target = 1; target <= TARGET_COUNT; target++)
     {
       cr_log_info ("target %u is used by %u entries", target, entries[target]);
-      cr_expect_leq (entries[target], CONNECTIONS);
+      cr_expect_leq (entries[target], CONNECTIONS_PER_TARGET);
       cr_expect_gt (entries[target], 0);
     }
   jl_config_drop (config);
 }
 
-/* Calls stay in the own zone until its targets are full. */
+/* Calls go to other zones only once the targets of the own zone are full. */
 Test (place, other_zones_are_used_when_the_own_is_full)
 {
   struct jl_config *config = open_config ();
   struct entry entry;
-  uint32_t own = 0;
-  uint32_t other = 0;
+  uint32_t own_zone = 0;
+  uint32_t other_zone = 0;
 
-  open_entry (&entry, config, 100, DAEMONS, ZONES);
-  for (uint64_t i = 1; i <= CALLS; i++)
+  open_entry (&entry, config, 100, DAEMON_COUNT, ZONE_COUNT);
+  for (uint64_t i = 1; i <= CALL_COUNT; i++)
     {
-      cr_expect_eq (make_call (&entry, i, 500, true) % ZONES, 100 % ZONES);
-      cr_expect_eq (make_call (&entry, CALLS + i, 500, true) % ZONES,
-                    100 % ZONES);
+      cr_expect_eq (make_call (&entry, i, 500, true) % ZONE_COUNT,
+                    100 % ZONE_COUNT);
+      cr_expect_eq (make_call (&entry, CALL_COUNT + i, 500, true) % ZONE_COUNT,
+                    100 % ZONE_COUNT);
     }
-  for (uint64_t i = 1; i <= CALLS; i++)
-    if (make_call (&entry, 1000 + i, 0, false) % ZONES == 100 % ZONES)
-      own++;
+  for (uint64_t i = 1; i <= CALL_COUNT; i++)
+    if (make_call (&entry, 1000 + i, 0, false) % ZONE_COUNT == 100 % ZONE_COUNT)
+      own_zone++;
     else
-      other++;
-  cr_log_info ("%u in the own zone, %u in others", own, other);
-  cr_expect_gt (own, 0);
-  cr_expect_gt (other, 0);
+      other_zone++;
+  cr_log_info ("%u in the own zone, %u in others", own_zone, other_zone);
+  cr_expect_gt (own_zone, 0);
+  cr_expect_gt (other_zone, 0);
   close_entry (&entry);
   jl_config_drop (config);
 }
 
-/* A member that cannot be reached makes room for the next in the subset. */
+/* Members of the subset that are dead are replaced by other members. */
 Test (place, a_subset_grows_when_its_members_fail)
 {
   struct jl_config *config = open_config ();
   struct entry entry;
   uint32_t used = 0;
 
-  open_entry (&entry, config, 100, DAEMONS, 1);
-  for (uint64_t i = 1; i <= UINT64_C (3) * CALLS; i++)
+  open_entry (&entry, config, 100, DAEMON_COUNT, 1);
+  for (uint64_t i = 1; i <= UINT64_C (3) * CALL_COUNT; i++)
     entry.used[make_call (&entry, i, 0, false)] = true;
-  for (uint32_t target = 1; target <= TARGETS; target++)
+  for (uint32_t target = 1; target <= TARGET_COUNT; target++)
     {
       struct jl_message message = { .type = JL_MESSAGE_SYNC };
       struct jl_event event = { .type = JL_EVENT_MESSAGE };
@@ -235,8 +247,8 @@
       step (&entry, &event);
     }
   cr_log_info ("%u targets in the subset", used);
-  cr_expect_lt (used, TARGETS);
-  for (uint64_t i = 1; i <= CALLS; i++)
+  cr_expect_lt (used, TARGET_COUNT);
+  for (uint64_t i = 1; i <= CALL_COUNT; i++)
     {
       uint32_t target = make_call (&entry, 1000 + i, 0, false);
 
@@ -247,33 +259,37 @@
   jl_config_drop (config);
 }
 
-/* Calls to the second of two targets, without answers. */
+/* Counts how many unanswered calls go to the second of two targets. */
 static uint32_t
-count_second (struct entry *entry, uint64_t first_number)
+count_calls_to_second (struct entry *entry, uint64_t first_number)
 {
   uint32_t second = 0;
 
-  for (uint64_t i = 0; i < CALLS / 4; i++)
+  for (uint64_t i = 0; i < CALL_COUNT / 4; i++)
     second += make_call (entry, first_number + i, 0, false) == 2;
   return second;
 }
 
-/* A target that has just come gets a share that grows to a half. */
+/*
+ * A new target gets fewer calls than one that has completed its cold start. The
+ * comparison is with the same two targets after the cold start time.
+ */
 Test (place, a_new_member_gets_a_growing_share)
 {
   struct jl_config *config = open_config ();
   struct entry entry;
-  uint32_t at_first;
+  uint32_t new_member_calls;
 
   open_entry (&entry, config, 100, 1, 1);
   entry.now_us += 2 * JL_USEC_PER_SEC;
-  add_member (&entry, 2, 1);
-  at_first = count_second (&entry, 1);
+  announce_member (&entry, 2, 1);
+  new_member_calls = count_calls_to_second (&entry, 1);
   close_entry (&entry);
   open_entry (&entry, config, 100, 2, 1);
   entry.now_us += 2 * JL_USEC_PER_SEC;
-  cr_expect_lt (at_first, count_second (&entry, 1));
-  cr_log_info ("%u of %u calls to a new target", at_first, CALLS / 4);
+  cr_expect_lt (new_member_calls, count_calls_to_second (&entry, 1));
+  cr_log_info ("%u of %u calls to a new target", new_member_calls,
+               CALL_COUNT / 4);
   close_entry (&entry);
   jl_config_drop (config);
 }
--- a/tests/unit/queue.c
+++ b/tests/unit/queue.c
@@ -1,27 +1,30 @@
 /**
- * DOC: The queue of admission, against a plain array in the same order.
+ * DOC: Tests of the admission queue against a reference model, an array that is
+ * searched linearly.
  */
 
 #include <criterion/criterion.h>
 
 #include "core/queue.h"
 
-#define ITEM_COUNT 400
+#define ITEM_MAX 400
 #define STEP_COUNT 20000
 
 /**
- * struct model - waiting items in order of arrival
+ * struct model - the queue under test and the reference model
+ * @items: waiting items in order of arrival
+ * @works: storage of all items, waiting or not
  */
 struct model
 {
   struct jl_queue *queue;
   GPtrArray *items;
-  struct jl_work works[ITEM_COUNT];
+  struct jl_work works[ITEM_MAX];
 };
 
-/* Whether @a, which arrived before @b, goes before it. */
+/* Whether @a, which arrived before @b, is also ahead of it in the queue. */
 static bool
-goes_before (const struct jl_work *a, const struct jl_work *b)
+precedes (const struct jl_work *a, const struct jl_work *b)
 {
   if (a->priority != b->priority)
     return a->priority < b->priority;
@@ -37,7 +40,7 @@
     {
       struct jl_work *work = g_ptr_array_index (model->items, i);
 
-      if (first == NULL || !goes_before (first, work))
+      if (first == NULL || !precedes (first, work))
         first = work;
     }
   return first;
@@ -52,14 +55,14 @@
     {
       struct jl_work *work = g_ptr_array_index (model->items, i);
 
-      if (last == NULL || goes_before (last, work))
+      if (last == NULL || precedes (last, work))
         last = work;
     }
   return last;
 }
 
 static uint32_t
-count_ahead (const struct model *model, uint32_t priority)
+count_at_least (const struct model *model, uint32_t priority)
 {
   uint32_t count = 0;
 
@@ -73,11 +76,10 @@
 }
 
 static void
-add_random (struct model *model, GRand *random)
+add_random_item (struct model *model, GRand *random)
 {
   static const uint64_t invested_us[] = { 0, 500, 70000 };
-  struct jl_work *work
-      = &model->works[g_rand_int_range (random, 0, ITEM_COUNT)];
+  struct jl_work *work = &model->works[g_rand_int_range (random, 0, ITEM_MAX)];
 
   if (g_ptr_array_find (model->items, work, NULL))
     return;
@@ -97,7 +99,7 @@
 }
 
 static void
-change (struct model *model, GRand *random)
+apply_random_change (struct model *model, GRand *random)
 {
   switch (g_rand_int_range (random, 0, 6))
     {
@@ -112,7 +114,7 @@
         remove_item (model, g_ptr_array_index (model->items, 0));
       break;
     default:
-      add_random (model, random);
+      add_random_item (model, random);
       break;
     }
 }
@@ -127,12 +129,12 @@
     {
       uint32_t priority = (uint32_t)g_rand_int_range (random, 0, 1024);
 
-      change (&model, random);
+      apply_random_change (&model, random);
       cr_assert_eq (jl_queue_first (model.queue), find_first (&model));
       cr_assert_eq (jl_queue_last (model.queue), find_last (&model));
       cr_assert_eq (jl_queue_count (model.queue), model.items->len);
       cr_assert_eq (jl_queue_count_ahead (model.queue, priority),
-                    count_ahead (&model, priority));
+                    count_at_least (&model, priority));
     }
   g_rand_free (random);
   g_ptr_array_free (model.items, TRUE);
