--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -82,7 +82,7 @@
   uint32_t window_initial_waiting;
   bool window_refused;
   uint64_t last_lowered_us;
-  struct jl_timer window;
+  struct jl_timer window_timer;
 };
 
 static void end_window (void *context, struct jl_timer *timer);
@@ -216,9 +216,9 @@
 {
   struct jl_admit *admit = core->admit;
 
-  if (core->options.mode != JL_CORE_FULL || admit->window.index != 0)
+  if (core->options.mode != JL_CORE_FULL || admit->window_timer.index != 0)
     return;
-  jl_timer_start (core->timers, &admit->window,
+  jl_timer_start (core->timers, &admit->window_timer,
                   core->now_us + JL_LEVEL_WINDOW_US, end_window, core);
 }
 
@@ -542,10 +542,10 @@
   struct jl_level_window window;
 
   window.capacity_milli = capacity_milli (core, JL_LEVEL_WINDOW_US);
-  window.waiting = is_overloaded (core) || is_backlogged (core);
+  window.backlogged = is_overloaded (core) || is_backlogged (core);
   window.overloaded = is_overloaded (core) && !is_queue_shrinking (core);
   jl_limit_end_window (admit->limit, core->now_us,
-                       window.waiting
+                       window.backlogged
                            || jl_admit_level (core) < JL_PRIORITY_COUNT);
   admit->window_initial_waiting = jl_admit_waiting (core);
   admit->window_start_count = 0;
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -210,7 +210,7 @@
     level->overloaded_windows = 0;
   if (window->overloaded)
     lower_level (level, window);
-  else if (level->value < JL_PRIORITY_COUNT && !window->waiting)
+  else if (level->value < JL_PRIORITY_COUNT && !window->backlogged)
     raise_level (level, window);
 }
 
--- a/source/core/level.h
+++ b/source/core/level.h
@@ -60,13 +60,13 @@
  * @capacity_milli: items that the target can complete in one window, in
  *                  thousandths of an item; 0 while this is not known
  * @overloaded: whether items waited too long or were refused from the queue
- * @waiting: whether a backlog remains, so that the level must not be raised
+ * @backlogged: whether a backlog remains, so that the level must not be raised
  */
 struct jl_level_window
 {
   uint64_t capacity_milli;
   bool overloaded;
-  bool waiting;
+  bool backlogged;
 };
 
 /**
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -93,7 +93,7 @@
   bool has_blamed_process;
   uint64_t blamed_started;
   struct answered answered[ANSWERED_SLOTS];
-  struct jl_timer expiry;
+  struct jl_timer expiry_timer;
   struct jl_timer notify_timer;
 };
 
@@ -162,8 +162,8 @@
   record->changed_us = core->now_us;
   cds_list_del (&record->order);
   cds_list_add_tail (&record->order, &poison->order);
-  if (poison->expiry.index == 0)
-    jl_timer_start (core->timers, &poison->expiry,
+  if (poison->expiry_timer.index == 0)
+    jl_timer_start (core->timers, &poison->expiry_timer,
                     core->now_us + STRIKE_EXPIRY_US, expire, core);
 }
 
--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -157,7 +157,7 @@
   jl_site_run_until (&simulation.site, 3 * JL_USEC_PER_SEC);
   send_poison (&simulation, 3 * JL_USEC_PER_SEC);
   jl_site_run_until (&simulation.site, 10 * JL_USEC_PER_SEC);
-  cr_log_info ("resends %u crashes %u others done %u barred %u",
+  cr_log_info ("resends %u crashes %u others done %u refused %u",
                simulation.poison_sends, simulation.crashes,
                simulation.others_done, simulation.others_refused);
   cr_expect_eq (simulation.poison_sends, RESEND_COUNT);
