--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -222,10 +222,10 @@
 jl_rows_window (struct jl_proxy *proxy)
 {
   if (is_watcher (proxy))
-    jl_store_set_watch_pace (proxy->store, SITE_TABLE, SITE_WATCH_MS, 0);
+    jl_store_set_watch_intervals (proxy->store, SITE_TABLE, SITE_WATCH_MS, 0);
   else
-    jl_store_set_watch_pace (proxy->store, SITE_TABLE, SITE_WAIT_MS,
-                             SITE_GATHER_US);
+    jl_store_set_watch_intervals (proxy->store, SITE_TABLE, SITE_WAIT_MS,
+                                  SITE_GATHER_US);
 }
 
 void
