--- a/include/jackdawladder/conn.h
+++ b/include/jackdawladder/conn.h
@@ -93,13 +93,13 @@
 
 /**
  * jl_net_set_limits - sets the limits for messages and accepted connections
- * @head_bytes: maximum size of the head of a message
+ * @head_bytes_max: maximum size of the head of a message
  * @head_timeout_us: maximum time from the first byte of a request head to its
  *                   end
  * @idle_timeout_us: maximum time without input between two requests
  */
 void jl_net_set_limits (struct jl_net *net,
-                        size_t head_bytes,
+                        size_t head_bytes_max,
                         uint64_t head_timeout_us,
                         uint64_t idle_timeout_us);
 
--- a/include/jackdawladder/upstream.h
+++ b/include/jackdawladder/upstream.h
@@ -56,11 +56,11 @@
 
 /**
  * jl_pool_new - creates a pool of idle connections
- * @idle_us: maximum idle time after which a connection is reused
- * @idle_max: maximum number of idle connections per endpoint
+ * @idle_max_us: maximum idle time after which a connection is reused
+ * @idle_conns_max: maximum number of idle connections per endpoint
  */
 struct jl_pool *
-jl_pool_new (struct jl_net *net, uint64_t idle_us, unsigned idle_max);
+jl_pool_new (struct jl_net *net, uint64_t idle_max_us, unsigned idle_conns_max);
 
 /**
  * jl_pool_close_expired - closes connections idle for longer than the maximum
--- a/source/net/conn.c
+++ b/source/net/conn.c
@@ -22,10 +22,11 @@
 #define KEEPALIVE_IDLE_S 2
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES_MAX 2
-/* Time without output progress after which a connection is closed. */
+/* Time without output progress after which the connection is closed. */
 #define WRITE_TIMEOUT_US (10 * JL_USEC_PER_SEC)
 /* Time to wait for the peer to close after the output was shut down. */
 #define LINGER_TIMEOUT_US (1 * JL_USEC_PER_SEC)
+/* Limits until jl_net_set_limits() is called. */
 #define HEAD_BYTES_MAX_DEFAULT 65536
 #define HEAD_TIMEOUT_DEFAULT_US (10 * JL_USEC_PER_SEC)
 #define IDLE_TIMEOUT_DEFAULT_US (60 * JL_USEC_PER_SEC)
@@ -232,11 +233,11 @@
 
 void
 jl_net_set_limits (struct jl_net *net,
-                   size_t head_bytes,
+                   size_t head_bytes_max,
                    uint64_t head_timeout_us,
                    uint64_t idle_timeout_us)
 {
-  net->head_bytes_max = head_bytes;
+  net->head_bytes_max = head_bytes_max;
   net->head_timeout_us = head_timeout_us;
   net->idle_timeout_us = idle_timeout_us;
 }
@@ -259,6 +260,7 @@
   return now_us > since_us && now_us - since_us > timeout_us;
 }
 
+/* Responds with 408 to a client that did not send its request head in time. */
 static void
 reject_slow_head (struct jl_conn *conn)
 {
@@ -374,6 +376,8 @@
     jl_conn_parse (conn, buffer->base, (size_t)size);
 }
 
+/* Starts or stops reading from the socket, as the connection's state requires.
+ */
 static void
 update_reading (struct jl_conn *conn)
 {
--- a/source/net/request.c
+++ b/source/net/request.c
@@ -119,7 +119,7 @@
     server->handler->drained (server->context, request);
 }
 
-/* Answers a request that could not be parsed and closes the connection. */
+/* Responds with @status to a malformed request and closes the connection. */
 static void
 reject_request (struct jl_conn *conn, unsigned status)
 {
--- a/source/net/upstream.c
+++ b/source/net/upstream.c
@@ -45,21 +45,22 @@
 
 /**
  * struct jl_pool - idle connections of all endpoints
- * @idle_us: maximum idle time given by the owner of the pool
- * @safe_idle_us: maximum idle time estimated from stale connections; equal to
- *                @idle_us if there were none
- * @safe_idle_set_us: time at which @safe_idle_us was last reduced
- * @idle_max: maximum number of idle connections per endpoint
+ * @idle_max_us: maximum idle time given by the owner of the pool
+ * @safe_idle_max_us: maximum idle time estimated from stale connections; equal
+ * to
+ *                    @idle_max_us if there were none
+ * @safe_idle_set_us: time at which @safe_idle_max_us was last reduced
+ * @idle_conns_max: maximum number of idle connections per endpoint
  * @idle_lists: struct idle_list by endpoint_key()
  */
 struct jl_pool
 {
   struct jl_net *net;
   struct jl_loop *loop;
-  uint64_t idle_us;
-  uint64_t safe_idle_us;
+  uint64_t idle_max_us;
+  uint64_t safe_idle_max_us;
   uint64_t safe_idle_set_us;
-  unsigned idle_max;
+  unsigned idle_conns_max;
   GHashTable *idle_lists;
 };
 
@@ -156,14 +157,14 @@
 };
 
 struct jl_pool *
-jl_pool_new (struct jl_net *net, uint64_t idle_us, unsigned idle_max)
+jl_pool_new (struct jl_net *net, uint64_t idle_max_us, unsigned idle_conns_max)
 {
   struct jl_pool *pool = g_new0 (struct jl_pool, 1);
 
   pool->net = net;
-  pool->idle_us = idle_us;
-  pool->safe_idle_us = idle_us;
-  pool->idle_max = idle_max;
+  pool->idle_max_us = idle_max_us;
+  pool->safe_idle_max_us = idle_max_us;
+  pool->idle_conns_max = idle_conns_max;
   pool->idle_lists
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return pool;
@@ -194,7 +195,7 @@
 
       cds_list_for_each_entry_safe (idle, next, &list->conns,
                                     link) if (now_us - idle->since_us
-                                              > pool->idle_us)
+                                              > pool->idle_max_us)
           close_idle_conn (idle);
     }
 }
@@ -215,14 +216,14 @@
  * every SAFE_IDLE_DOUBLING_US after a reduction, up to that of the owner.
  */
 static uint64_t
-current_idle_max (const struct jl_pool *pool, uint64_t now_us)
+current_idle_max_us (const struct jl_pool *pool, uint64_t now_us)
 {
   uint64_t doublings
       = (now_us - pool->safe_idle_set_us) / SAFE_IDLE_DOUBLING_US;
 
-  if (pool->safe_idle_us >= pool->idle_us || doublings >= 16)
-    return pool->idle_us;
-  return MIN (pool->idle_us, pool->safe_idle_us << doublings);
+  if (pool->safe_idle_max_us >= pool->idle_max_us || doublings >= 16)
+    return pool->idle_max_us;
+  return MIN (pool->idle_max_us, pool->safe_idle_max_us << doublings);
 }
 
 /*
@@ -230,12 +231,12 @@
  * turned out to be stale.
  */
 static void
-reduce_safe_idle (struct jl_pool *pool, uint64_t idle_us)
+reduce_safe_idle_max (struct jl_pool *pool, uint64_t idle_us)
 {
   uint64_t now_us = jl_now ();
   uint64_t safe_us = MAX (idle_us / 2, SAFE_IDLE_MIN_US);
 
-  pool->safe_idle_us = MIN (current_idle_max (pool, now_us), safe_us);
+  pool->safe_idle_max_us = MIN (current_idle_max_us (pool, now_us), safe_us);
   pool->safe_idle_set_us = now_us;
 }
 
@@ -255,7 +256,7 @@
     struct jl_conn *conn = idle->conn;
 
     *idle_us = now_us - idle->since_us;
-    if (*idle_us <= current_idle_max (pool, now_us))
+    if (*idle_us <= current_idle_max_us (pool, now_us))
       {
         remove_idle_conn (idle);
         return conn;
@@ -271,7 +272,7 @@
   struct idle_list *list = find_idle_list (pool, jl_conn_peer (conn));
   struct idle_conn *idle;
 
-  if (list->count >= pool->idle_max)
+  if (list->count >= pool->idle_conns_max)
     {
       jl_conn_abort (conn);
       return;
@@ -351,7 +352,7 @@
     failure = JL_UPSTREAM_NOT_SENT;
   else if (upstream->reused && !upstream->response_reported
            && jl_now () - upstream->start_us < STALE_DETECTION_US)
-    reduce_safe_idle (upstream->pool, upstream->idle_us);
+    reduce_safe_idle_max (upstream->pool, upstream->idle_us);
   upstream->conn = NULL;
   upstream->ops->failed (upstream->context, upstream, failure);
 }
--- a/tests/proxy/decode.c
+++ b/tests/proxy/decode.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of the platform's documents and of the settings.
+ * DOC: Tests of the decoders of the platform's documents and of the settings.
  */
 
 #include <criterion/criterion.h>
@@ -55,8 +55,9 @@
                     "%zu bytes", size);
 }
 
+/* Whether the decoder accepts a heartbeat; it must set an error otherwise. */
 static bool
-reads (const char *text)
+is_accepted (const char *text)
 {
   struct jl_heartbeat heartbeat;
   GError *error = NULL;
@@ -70,22 +71,22 @@
 
 Test (decode, heartbeats)
 {
-  cr_assert (reads (
+  cr_assert (is_accepted (
       "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"zone\":\"z\","
       "\"version\":\"v1\",\"slots\":12,\"state\":\"ready\",\"coldLeftS\":0.5,"
       "\"sequence\":4,\"born\":1700000000000}"));
-  cr_assert_not (reads (""));
-  cr_assert_not (reads ("[]"));
-  cr_assert_not (reads ("{\"service\":7}"));
-  cr_assert_not (
-      reads ("{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
-             "\"state\":\"resting\",\"sequence\":4}"));
-  cr_assert_not (reads (
+  cr_assert_not (is_accepted (""));
+  cr_assert_not (is_accepted ("[]"));
+  cr_assert_not (is_accepted ("{\"service\":7}"));
+  cr_assert_not (is_accepted (
+      "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
+      "\"state\":\"resting\",\"sequence\":4}"));
+  cr_assert_not (is_accepted (
       "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":\"many\","
       "\"state\":\"ready\",\"sequence\":4}"));
-  cr_assert_not (
-      reads ("{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
-             "\"state\":\"ready\",\"sequence\":4,\"born\":1.5}"));
+  cr_assert_not (is_accepted (
+      "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
+      "\"state\":\"ready\",\"sequence\":4,\"born\":1.5}"));
 }
 
 Test (decode, settings)
--- a/tests/proxy/net.c
+++ b/tests/proxy/net.c
@@ -1,7 +1,7 @@
 /**
- * DOC: Tests of the transport against raw sockets on the loopback.
+ * DOC: Tests of the HTTP transport against raw sockets on the loopback.
  *
- * The other side is played by blocking writes between turns of the loop.
+ * The tests act as the peer, with blocking writes between runs of the loop.
  */
 
 #include <criterion/criterion.h>
@@ -14,14 +14,16 @@
 #include "jackdawladder/request.h"
 #include "jackdawladder/upstream.h"
 
-#define TURNS 40
+/* Iterations of one run_loop(), with a sleep of 0.5 ms after each. */
+#define LOOP_ITERATIONS 40
 
 /**
- * struct seen - what the owner of a sending was told
+ * struct response_log - callbacks received by the owner of a request
+ * @skip_id: responses with this value of the field "Id" are skipped
  */
-struct seen
+struct response_log
 {
-  bool answered;
+  bool reported;
   bool complete;
   bool failed;
   unsigned status;
@@ -31,44 +33,45 @@
 };
 
 static void
-on_answer (void *context, struct jl_upstream *upstream)
+on_response (void *context, struct jl_upstream *upstream)
 {
-  struct seen *seen = context;
+  struct response_log *response = context;
   const struct jl_head *head = jl_upstream_head (upstream);
   const char *id = jl_head_get (head, "Id");
 
-  if (seen->skip_id != NULL && id != NULL && strcmp (id, seen->skip_id) == 0)
+  if (response->skip_id != NULL && id != NULL
+      && strcmp (id, response->skip_id) == 0)
     {
       cr_assert (jl_upstream_skip_response (upstream));
       return;
     }
-  seen->answered = true;
-  seen->status = head->status;
-  seen->complete = jl_upstream_is_complete (upstream);
-  g_string_append_len (seen->body,
+  response->reported = true;
+  response->status = head->status;
+  response->complete = jl_upstream_is_complete (upstream);
+  g_string_append_len (response->body,
                        (const char *)jl_upstream_buffered_body (upstream)->data,
                        jl_upstream_buffered_body (upstream)->len);
 }
 
 static void
-on_piece (void *context,
-          struct jl_upstream *upstream,
-          const char *data,
-          size_t size)
+on_response_body (void *context,
+                  struct jl_upstream *upstream,
+                  const char *data,
+                  size_t size)
 {
-  struct seen *seen = context;
+  struct response_log *response = context;
 
   (void)upstream;
-  g_string_append_len (seen->body, data, (gssize)size);
+  g_string_append_len (response->body, data, (gssize)size);
 }
 
 static void
-on_done (void *context, struct jl_upstream *upstream)
+on_response_complete (void *context, struct jl_upstream *upstream)
 {
-  struct seen *seen = context;
+  struct response_log *response = context;
 
   (void)upstream;
-  seen->complete = true;
+  response->complete = true;
 }
 
 static void
@@ -76,30 +79,31 @@
            struct jl_upstream *upstream,
            enum jl_upstream_failure failure)
 {
-  struct seen *seen = context;
+  struct response_log *response = context;
 
   (void)upstream;
-  seen->failed = true;
-  seen->failure = failure;
+  response->failed = true;
+  response->failure = failure;
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .response = on_answer,
-  .body = on_piece,
-  .complete = on_done,
+  .response = on_response,
+  .body = on_response_body,
+  .complete = on_response_complete,
   .failed = on_failed,
 };
 
 /**
- * struct bench - a loop, a raw listener and one sending to it
+ * struct fixture - a loop, a raw listener and a request to it
+ * @peer: the raw socket of the other side
  */
-struct bench
+struct fixture
 {
   struct jl_loop *loop;
   struct jl_net *net;
   struct jl_pool *pool;
   struct jl_upstream *upstream;
-  struct seen seen;
+  struct response_log response;
   struct jl_endpoint endpoint;
   int listener;
   int peer;
@@ -132,255 +136,262 @@
 }
 
 static void
-turn (struct bench *bench)
+run_loop (struct fixture *fixture)
 {
-  for (unsigned i = 0; i < TURNS; i++)
+  for (unsigned i = 0; i < LOOP_ITERATIONS; i++)
     {
-      uv_run (&bench->loop->uv, UV_RUN_NOWAIT);
+      uv_run (&fixture->loop->uv, UV_RUN_NOWAIT);
       g_usleep (500);
     }
 }
 
 static void
-bench_open (struct bench *bench)
+fixture_open (struct fixture *fixture)
 {
-  memset (bench, 0, sizeof *bench);
-  bench->loop = jl_loop_new ();
-  bench->net = jl_net_new (bench->loop);
-  bench->pool = jl_pool_new (bench->net, JL_USEC_PER_SEC, 4);
-  bench->listener = listen_raw ();
-  bench->endpoint = local_endpoint (bench->listener);
-  bench->seen.body = g_string_new (NULL);
+  memset (fixture, 0, sizeof *fixture);
+  fixture->loop = jl_loop_new ();
+  fixture->net = jl_net_new (fixture->loop);
+  fixture->pool = jl_pool_new (fixture->net, JL_USEC_PER_SEC, 4);
+  fixture->listener = listen_raw ();
+  fixture->endpoint = local_endpoint (fixture->listener);
+  fixture->response.body = g_string_new (NULL);
 }
 
 static void
-bench_send (struct bench *bench)
+send_request (struct fixture *fixture)
 {
   GString *head = g_string_new ("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
 
-  bench->upstream = jl_upstream_open (bench->pool, bench->endpoint, false, head,
-                                      false, &upstream_ops, &bench->seen);
-  jl_upstream_end_body (bench->upstream, false);
+  fixture->upstream
+      = jl_upstream_open (fixture->pool, fixture->endpoint, false, head, false,
+                          &upstream_ops, &fixture->response);
+  jl_upstream_end_body (fixture->upstream, false);
   g_string_free (head, TRUE);
-  turn (bench);
+  run_loop (fixture);
 }
 
 static void
-bench_accept (struct bench *bench)
+accept_request (struct fixture *fixture)
 {
   char request[256];
 
-  bench->peer = accept (bench->listener, NULL, NULL);
-  cr_assert_geq (bench->peer, 0);
-  cr_assert_gt (recv (bench->peer, request, sizeof request, 0), 0);
+  fixture->peer = accept (fixture->listener, NULL, NULL);
+  cr_assert_geq (fixture->peer, 0);
+  cr_assert_gt (recv (fixture->peer, request, sizeof request, 0), 0);
 }
 
 static void
-say (struct bench *bench, const char *text)
+peer_send (struct fixture *fixture, const char *text)
 {
-  cr_assert_eq (send (bench->peer, text, strlen (text), MSG_NOSIGNAL),
+  cr_assert_eq (send (fixture->peer, text, strlen (text), MSG_NOSIGNAL),
                 (ssize_t)strlen (text));
 }
 
-/* Ends the peer's connection by a reset. */
+/* Closes the peer's socket with a TCP reset. */
 static void
-reset_peer (struct bench *bench)
+reset_peer (struct fixture *fixture)
 {
   struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-  setsockopt (bench->peer, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
-  close (bench->peer);
+  setsockopt (fixture->peer, SOL_SOCKET, SO_LINGER, &linger, sizeof linger);
+  close (fixture->peer);
 }
 
 Test (net, an_answer_with_a_length)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
-  turn (&bench);
-  cr_assert (bench.seen.complete);
-  cr_assert_eq (bench.seen.status, 200);
-  cr_assert_str_eq (bench.seen.body->str, "abc");
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
+  run_loop (&fixture);
+  cr_assert (fixture.response.complete);
+  cr_assert_eq (fixture.response.status, 200);
+  cr_assert_str_eq (fixture.response.body->str, "abc");
 }
 
 Test (net, an_answer_without_length_ends_with_its_connection)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\n\r\nabc");
-  close (bench.peer);
-  turn (&bench);
-  cr_assert (bench.seen.complete);
-  cr_assert_str_eq (bench.seen.body->str, "abc");
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\n\r\nabc");
+  close (fixture.peer);
+  run_loop (&fixture);
+  cr_assert (fixture.response.complete);
+  cr_assert_str_eq (fixture.response.body->str, "abc");
 }
 
 Test (net, an_answer_without_length_that_is_reset_is_not_complete)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\n\r\nabc");
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\n\r\nabc");
   g_usleep (2000);
-  uv_run (&bench.loop->uv, UV_RUN_NOWAIT);
-  say (&bench, "d");
-  reset_peer (&bench);
-  turn (&bench);
-  cr_assert_not (bench.seen.complete);
-  cr_assert (bench.seen.failed);
-  cr_assert_eq (bench.seen.failure, JL_UPSTREAM_LOST);
+  uv_run (&fixture.loop->uv, UV_RUN_NOWAIT);
+  peer_send (&fixture, "d");
+  reset_peer (&fixture);
+  run_loop (&fixture);
+  cr_assert_not (fixture.response.complete);
+  cr_assert (fixture.response.failed);
+  cr_assert_eq (fixture.response.failure, JL_UPSTREAM_LOST);
 }
 
 Test (net, an_answer_that_breaks_off_is_lost)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc");
-  close (bench.peer);
-  turn (&bench);
-  cr_assert_not (bench.seen.answered);
-  cr_assert (bench.seen.failed);
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nabc");
+  close (fixture.peer);
+  run_loop (&fixture);
+  cr_assert_not (fixture.response.reported);
+  cr_assert (fixture.response.failed);
 }
 
 Test (net, bytes_that_are_no_answer_spoil_it)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "%%%% what is this\r\n\r\n");
-  turn (&bench);
-  cr_assert (bench.seen.failed);
-  cr_assert_eq (bench.seen.failure, JL_UPSTREAM_MALFORMED);
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "%%%% what is this\r\n\r\n");
+  run_loop (&fixture);
+  cr_assert (fixture.response.failed);
+  cr_assert_eq (fixture.response.failure, JL_UPSTREAM_MALFORMED);
 }
 
 Test (net, a_refused_connection_was_not_sent)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  close (bench.listener);
-  bench_send (&bench);
-  cr_assert (bench.seen.failed);
-  cr_assert_eq (bench.seen.failure, JL_UPSTREAM_NOT_SENT);
+  fixture_open (&fixture);
+  close (fixture.listener);
+  send_request (&fixture);
+  cr_assert (fixture.response.failed);
+  cr_assert_eq (fixture.response.failure, JL_UPSTREAM_NOT_SENT);
 }
 
 Test (net, a_foreign_answer_is_skipped_and_the_own_one_read)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench.seen.skip_id = "old";
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 1\r\n\r\nx"
-               "HTTP/1.1 201 Created\r\nId: new\r\nContent-Length: 1\r\n\r\ny");
-  turn (&bench);
-  cr_assert_eq (bench.seen.status, 201);
-  cr_assert_str_eq (bench.seen.body->str, "y");
+  fixture_open (&fixture);
+  fixture.response.skip_id = "old";
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture,
+             "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 1\r\n\r\nx"
+             "HTTP/1.1 201 Created\r\nId: new\r\nContent-Length: 1\r\n\r\ny");
+  run_loop (&fixture);
+  cr_assert_eq (fixture.response.status, 201);
+  cr_assert_str_eq (fixture.response.body->str, "y");
 }
 
 Test (net, a_connection_with_bytes_to_spare_is_not_used_again)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200");
-  turn (&bench);
-  cr_assert (bench.seen.complete);
-  jl_upstream_close (bench.upstream);
-  turn (&bench);
-  cr_assert_eq (jl_net_open_count (bench.net), 0);
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture,
+             "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200");
+  run_loop (&fixture);
+  cr_assert (fixture.response.complete);
+  jl_upstream_close (fixture.upstream);
+  run_loop (&fixture);
+  cr_assert_eq (jl_net_open_count (fixture.net), 0);
 }
 
 Test (net, an_idle_connection_that_gets_an_answer_is_closed)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-  turn (&bench);
-  jl_upstream_close (bench.upstream);
-  cr_assert_eq (jl_net_open_count (bench.net), 1);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny");
-  turn (&bench);
-  cr_assert_eq (jl_net_open_count (bench.net), 0);
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+  run_loop (&fixture);
+  jl_upstream_close (fixture.upstream);
+  cr_assert_eq (jl_net_open_count (fixture.net), 1);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny");
+  run_loop (&fixture);
+  cr_assert_eq (jl_net_open_count (fixture.net), 0);
 }
 
-/* The peer forgets idle connections: the next sending takes a new one. */
+/*
+ * The peer drops idle connections. After a request has failed on a connection
+ * that was idle for 200 ms, one that was idle for 150 ms must not be reused.
+ */
 Test (net, a_forgotten_connection_shortens_the_idle_time)
 {
-  struct bench bench;
+  struct fixture fixture;
 
-  bench_open (&bench);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-  turn (&bench);
-  jl_upstream_close (bench.upstream);
+  fixture_open (&fixture);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+  run_loop (&fixture);
+  jl_upstream_close (fixture.upstream);
   g_usleep (200000);
   {
     GString *head = g_string_new ("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
 
-    bench.upstream = jl_upstream_open (bench.pool, bench.endpoint, false, head,
-                                       false, &upstream_ops, &bench.seen);
+    fixture.upstream
+        = jl_upstream_open (fixture.pool, fixture.endpoint, false, head, false,
+                            &upstream_ops, &fixture.response);
     g_string_free (head, TRUE);
   }
-  uv_run (&bench.loop->uv, UV_RUN_NOWAIT);
-  reset_peer (&bench);
-  turn (&bench);
-  cr_assert (bench.seen.failed);
-  jl_upstream_close (bench.upstream);
-  memset (&bench.seen, 0, sizeof bench.seen);
-  bench.seen.body = g_string_new (NULL);
-  bench_send (&bench);
-  bench_accept (&bench);
-  say (&bench, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
-  turn (&bench);
-  cr_assert (bench.seen.complete);
-  jl_upstream_close (bench.upstream);
+  uv_run (&fixture.loop->uv, UV_RUN_NOWAIT);
+  reset_peer (&fixture);
+  run_loop (&fixture);
+  cr_assert (fixture.response.failed);
+  jl_upstream_close (fixture.upstream);
+  memset (&fixture.response, 0, sizeof fixture.response);
+  fixture.response.body = g_string_new (NULL);
+  send_request (&fixture);
+  accept_request (&fixture);
+  peer_send (&fixture, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
+  run_loop (&fixture);
+  cr_assert (fixture.response.complete);
+  jl_upstream_close (fixture.upstream);
   g_usleep (150000);
-  cr_assert_eq (jl_net_counters (bench.net)->connected, 2);
-  bench_send (&bench);
-  cr_assert_eq (jl_net_counters (bench.net)->connected, 3);
+  cr_assert_eq (jl_net_counters (fixture.net)->connected, 2);
+  send_request (&fixture);
+  cr_assert_eq (jl_net_counters (fixture.net)->connected, 3);
 }
 
 /**
- * struct served - what a listener's handler saw
+ * struct handler_log - callbacks received by the handler of a listener
  */
-struct served
+struct handler_log
 {
-  unsigned begun;
-  unsigned ended;
-  unsigned gone;
+  unsigned begin_count;
+  unsigned end_count;
+  unsigned disconnected;
   GString *body;
   struct jl_request *request;
-  bool answer_early;
+  bool respond_early;
 };
 
 static void
 on_begin (void *context, struct jl_request *request)
 {
-  struct served *served = context;
+  struct handler_log *handled = context;
 
-  served->begun++;
-  served->request = request;
-  if (served->answer_early)
+  handled->begin_count++;
+  handled->request = request;
+  if (handled->respond_early)
     jl_request_reply (request, 200, "", "early", 5);
 }
 
@@ -390,169 +401,172 @@
          const char *data,
          size_t size)
 {
-  struct served *served = context;
+  struct handler_log *handled = context;
 
   (void)request;
-  g_string_append_len (served->body, data, (gssize)size);
+  g_string_append_len (handled->body, data, (gssize)size);
 }
 
 static void
 on_end (void *context, struct jl_request *request)
 {
-  struct served *served = context;
+  struct handler_log *handled = context;
 
-  served->ended++;
+  handled->end_count++;
   jl_request_reply (request, 200, "", "ok", 2);
 }
 
 static void
-on_gone (void *context, struct jl_request *request)
+on_disconnected (void *context, struct jl_request *request)
 {
-  struct served *served = context;
+  struct handler_log *handled = context;
 
   (void)request;
-  served->gone++;
+  handled->disconnected++;
 }
 
 static const struct jl_handler handler = {
   .begin = on_begin,
   .body = on_body,
   .end = on_end,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
 };
 
-/* A listener of the product, and a raw client that is connected to it. */
+/* Opens a listener with the handler above and connects a raw client to it. */
 static void
-serve (struct bench *bench, struct served *served)
+open_server (struct fixture *fixture, struct handler_log *handled)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   struct jl_endpoint endpoint;
   const char *why;
   int probe = listen_raw ();
 
-  memset (served, 0, sizeof *served);
-  served->body = g_string_new (NULL);
-  bench_open (bench);
+  memset (handled, 0, sizeof *handled);
+  handled->body = g_string_new (NULL);
+  fixture_open (fixture);
   endpoint = local_endpoint (probe);
   close (probe);
   cr_assert_not_null (
-      jl_server_open (bench->net, endpoint, &handler, served, &why));
-  bench->peer = socket (AF_INET, SOCK_STREAM, 0);
+      jl_server_open (fixture->net, endpoint, &handler, handled, &why));
+  fixture->peer = socket (AF_INET, SOCK_STREAM, 0);
   address.sin_addr.s_addr = htonl (endpoint.ip);
   address.sin_port = htons (endpoint.port);
   cr_assert_eq (
-      connect (bench->peer, (struct sockaddr *)&address, sizeof address), 0);
-  turn (bench);
+      connect (fixture->peer, (struct sockaddr *)&address, sizeof address), 0);
+  run_loop (fixture);
 }
 
 static char *
-hear (struct bench *bench)
+peer_receive (struct fixture *fixture)
 {
-  static char answer[4096];
+  static char response[4096];
   ssize_t size;
 
-  turn (bench);
-  size = recv (bench->peer, answer, sizeof answer - 1, MSG_DONTWAIT);
-  answer[size > 0 ? size : 0] = '\0';
-  return answer;
+  run_loop (fixture);
+  size = recv (fixture->peer, response, sizeof response - 1, MSG_DONTWAIT);
+  response[size > 0 ? size : 0] = '\0';
+  return response;
 }
 
 Test (net, requests_sent_in_one_go_are_answered_in_turn)
 {
-  struct bench bench;
-  struct served served;
-  char *answer;
+  struct fixture fixture;
+  struct handler_log handled;
+  char *response;
 
-  serve (&bench, &served);
-  say (&bench, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
-               "POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
-  answer = hear (&bench);
-  cr_assert_eq (served.begun, 2);
-  cr_assert_eq (served.ended, 2);
-  cr_assert_str_eq (served.body->str, "hi");
-  answer = strstr (answer, "\r\n\r\nok");
-  cr_assert_not_null (answer);
-  cr_assert_not_null (strstr (answer + 4, "\r\n\r\nok"));
+  open_server (&fixture, &handled);
+  peer_send (&fixture,
+             "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
+             "POST /2 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi");
+  response = peer_receive (&fixture);
+  cr_assert_eq (handled.begin_count, 2);
+  cr_assert_eq (handled.end_count, 2);
+  cr_assert_str_eq (handled.body->str, "hi");
+  response = strstr (response, "\r\n\r\nok");
+  cr_assert_not_null (response);
+  cr_assert_not_null (strstr (response + 4, "\r\n\r\nok"));
 }
 
 Test (net, the_rest_of_a_body_after_an_early_answer_is_no_request)
 {
-  struct bench bench;
-  struct served served;
-  char *answer;
+  struct fixture fixture;
+  struct handler_log handled;
+  char *response;
 
-  serve (&bench, &served);
-  served.answer_early = true;
-  say (&bench, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 40\r\n\r\n");
-  answer = hear (&bench);
-  cr_assert_not_null (strstr (answer, "early"));
-  say (&bench, "GET /smuggled HTTP/1.1\r\nHost: abcdefg\r\n\r\n");
-  hear (&bench);
-  cr_assert_eq (served.begun, 1);
+  open_server (&fixture, &handled);
+  handled.respond_early = true;
+  peer_send (&fixture,
+             "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 40\r\n\r\n");
+  response = peer_receive (&fixture);
+  cr_assert_not_null (strstr (response, "early"));
+  peer_send (&fixture, "GET /smuggled HTTP/1.1\r\nHost: abcdefg\r\n\r\n");
+  peer_receive (&fixture);
+  cr_assert_eq (handled.begin_count, 1);
 }
 
 Test (net, malformed_input_gets_400)
 {
-  struct bench bench;
-  struct served served;
+  struct fixture fixture;
+  struct handler_log handled;
 
-  serve (&bench, &served);
-  say (&bench, "what is this\r\n\r\n");
-  cr_assert_not_null (strstr (hear (&bench), "HTTP/1.1 400 "));
-  cr_assert_eq (served.begun, 0);
+  open_server (&fixture, &handled);
+  peer_send (&fixture, "what is this\r\n\r\n");
+  cr_assert_not_null (strstr (peer_receive (&fixture), "HTTP/1.1 400 "));
+  cr_assert_eq (handled.begin_count, 0);
 }
 
 Test (net, length_and_chunks_together_get_400)
 {
-  struct bench bench;
-  struct served served;
+  struct fixture fixture;
+  struct handler_log handled;
 
-  serve (&bench, &served);
-  say (&bench, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
-               "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
-  cr_assert_not_null (strstr (hear (&bench), "HTTP/1.1 400 "));
-  cr_assert_eq (served.begun, 0);
+  open_server (&fixture, &handled);
+  peer_send (&fixture, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
+                       "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
+  cr_assert_not_null (strstr (peer_receive (&fixture), "HTTP/1.1 400 "));
+  cr_assert_eq (handled.begin_count, 0);
 }
 
 Test (net, a_head_over_the_limit_gets_431)
 {
-  struct bench bench;
-  struct served served;
+  struct fixture fixture;
+  struct handler_log handled;
   GString *head = g_string_new ("GET / HTTP/1.1\r\nHost: a\r\nLong: ");
 
-  serve (&bench, &served);
-  jl_net_set_limits (bench.net, 1000, JL_USEC_PER_SEC, JL_USEC_PER_SEC);
+  open_server (&fixture, &handled);
+  jl_net_set_limits (fixture.net, 1000, JL_USEC_PER_SEC, JL_USEC_PER_SEC);
   for (unsigned i = 0; i < 200; i++)
     g_string_append (head, "0123456789");
   g_string_append (head, "\r\n\r\n");
-  say (&bench, head->str);
-  cr_assert_not_null (strstr (hear (&bench), "HTTP/1.1 431 "));
-  cr_assert_eq (served.begun, 0);
+  peer_send (&fixture, head->str);
+  cr_assert_not_null (strstr (peer_receive (&fixture), "HTTP/1.1 431 "));
+  cr_assert_eq (handled.begin_count, 0);
 }
 
 Test (net, a_head_that_takes_too_long_gets_408)
 {
-  struct bench bench;
-  struct served served;
+  struct fixture fixture;
+  struct handler_log handled;
 
-  serve (&bench, &served);
-  jl_net_set_limits (bench.net, 1000, 1000, JL_USEC_PER_SEC);
-  say (&bench, "GET / HTTP/1.1\r\nHo");
-  turn (&bench);
-  jl_net_close_expired (bench.net);
-  cr_assert_not_null (strstr (hear (&bench), "HTTP/1.1 408 "));
+  open_server (&fixture, &handled);
+  jl_net_set_limits (fixture.net, 1000, 1000, JL_USEC_PER_SEC);
+  peer_send (&fixture, "GET / HTTP/1.1\r\nHo");
+  run_loop (&fixture);
+  jl_net_close_expired (fixture.net);
+  cr_assert_not_null (strstr (peer_receive (&fixture), "HTTP/1.1 408 "));
 }
 
 Test (net, a_client_that_leaves_is_noticed_while_it_waits)
 {
-  struct bench bench;
-  struct served served;
-
-  serve (&bench, &served);
-  say (&bench, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nab");
-  turn (&bench);
-  close (bench.peer);
-  turn (&bench);
-  cr_assert_eq (served.gone, 1);
-  cr_assert_eq (served.ended, 0);
+  struct fixture fixture;
+  struct handler_log handled;
+
+  open_server (&fixture, &handled);
+  peer_send (&fixture,
+             "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nab");
+  run_loop (&fixture);
+  close (fixture.peer);
+  run_loop (&fixture);
+  cr_assert_eq (handled.disconnected, 1);
+  cr_assert_eq (handled.end_count, 0);
 }
--- a/tests/proxy/store.c
+++ b/tests/proxy/store.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of rows that are kept written and read, against a played store.
+ * DOC: Tests of writing and reading rows, against a simulated store.
  */
 
 #include <criterion/criterion.h>
@@ -11,7 +11,7 @@
 #include "store.h"
 
 /**
- * struct owner - what the owner of the client was told
+ * struct owner - callbacks received by the owner of the client
  */
 struct owner
 {
@@ -53,9 +53,9 @@
 };
 
 /**
- * struct rig - a client, and the store that it speaks to
+ * struct fixture - a client and the simulated store that it calls
  */
-struct rig
+struct fixture
 {
   struct jl_loop *loop;
   struct played played;
@@ -64,60 +64,63 @@
 };
 
 static void
-rig_open (struct rig *rig, unsigned host)
+fixture_open (struct fixture *fixture, unsigned host)
 {
   struct jl_endpoint endpoint
       = { .ip = INADDR_LOOPBACK + (host << 8), .port = 17007 };
 
-  memset (rig, 0, sizeof *rig);
-  played_open (&rig->played, endpoint);
-  rig->loop = jl_loop_new ();
-  rig->store = jl_store_new (rig->loop, jl_net_new (rig->loop), endpoint, &ops,
-                             &rig->owner);
+  memset (fixture, 0, sizeof *fixture);
+  played_open (&fixture->played, endpoint);
+  fixture->loop = jl_loop_new ();
+  fixture->store = jl_store_new (fixture->loop, jl_net_new (fixture->loop),
+                                 endpoint, &ops, &fixture->owner);
 }
 
 static void
-rig_turn (struct rig *rig)
+run_loops (struct fixture *fixture)
 {
-  played_turn (&rig->played, rig->loop, 500);
+  played_turn (&fixture->played, fixture->loop, 500);
 }
 
-/* A daemon that starts again has its row there already. */
+/*
+ * After a restart, the row of a daemon already exists. Writing the same value
+ * again would wake every client that watches the table.
+ */
 Test (store, a_row_that_is_there_is_not_written_again)
 {
-  struct rig rig;
-
-  rig_open (&rig, 77);
-  played_put (&rig.played, "t", "k", "mine");
-  jl_store_write (rig.store, "t", "k", "mine");
-  rig_turn (&rig);
-  cr_assert_eq (rig.played.writes, 1, "%u writes", rig.played.writes);
-  cr_assert_eq (rig.owner.written, 1);
+  struct fixture fixture;
+
+  fixture_open (&fixture, 77);
+  played_put (&fixture.played, "t", "k", "mine");
+  jl_store_write (fixture.store, "t", "k", "mine");
+  run_loops (&fixture);
+  cr_assert_eq (fixture.played.writes, 1, "%u writes", fixture.played.writes);
+  cr_assert_eq (fixture.owner.written, 1);
 }
 
 Test (store, the_owner_hears_of_the_row_that_its_own_replaces)
 {
-  struct rig rig;
-
-  rig_open (&rig, 78);
-  played_put (&rig.played, "t", "k", "other");
-  jl_store_write (rig.store, "t", "k", "mine");
-  rig_turn (&rig);
-  cr_assert_eq (rig.played.writes, 2, "%u writes", rig.played.writes);
-  cr_assert_str_eq (rig.owner.value, "other");
-  cr_assert_eq (rig.owner.written, 1);
-  cr_assert_str_eq (played_get (&rig.played, "t", "k"), "mine");
+  struct fixture fixture;
+
+  fixture_open (&fixture, 78);
+  played_put (&fixture.played, "t", "k", "other");
+  jl_store_write (fixture.store, "t", "k", "mine");
+  run_loops (&fixture);
+  cr_assert_eq (fixture.played.writes, 2, "%u writes", fixture.played.writes);
+  cr_assert_str_eq (fixture.owner.value, "other");
+  cr_assert_eq (fixture.owner.written, 1);
+  cr_assert_str_eq (played_get (&fixture.played, "t", "k"), "mine");
 }
 
 Test (store, one_row_is_read)
 {
-  struct rig rig;
-
-  rig_open (&rig, 79);
-  played_put (&rig.played, "t", "k", "there");
-  played_put (&rig.played, "t", "l", "of another");
-  jl_store_read_row (rig.store, "t", "k");
-  rig_turn (&rig);
-  cr_assert_eq (rig.owner.rows, 1);
-  cr_assert_str_eq (rig.owner.value, "there");
+  struct fixture fixture;
+
+  fixture_open (&fixture, 79);
+  played_put (&fixture.played, "t", "k", "there");
+  played_put (&fixture.played, "t", "l", "of another");
+  jl_store_read_row (fixture.store, "t", "k");
+  run_loops (&fixture);
+  cr_assert_eq (fixture.owner.rows, 1);
+  cr_assert_str_eq (fixture.owner.value, "there");
 }
