--- a/source/base/record.c
+++ b/source/base/record.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Structured lines on standard output, bounded and never blocking.
+ * DOC: Structured log on standard output, rate-limited and non-blocking.
  */
 
 #include "jackdawladder/record.h"
@@ -11,17 +11,19 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Bytes held back while the reader of standard output is slow. */
-#define BUFFER_BYTES 65536
+/* Size of the buffer of lines not written yet, for slow readers of standard
+ * output. Lines that do not fit are dropped. */
+#define BUFFER_BYTES_MAX 65536
 
-/* Lines a second of each weight. */
-static const unsigned lines_per_s[JL_RECORD_WEIGHTS] = { 100, 60, 15 };
+/* Maximum number of lines a second of each priority. */
+static const unsigned lines_per_s[JL_RECORD_PRIORITY_COUNT] = { 100, 60, 15 };
 
+/* Names of the events, as written in each line. */
 static const struct
 {
-  enum jl_record_number number;
-  const char *text;
-} catalogue[] = {
+  enum jl_record_event event;
+  const char *name;
+} event_names[] = {
   { JL_RECORD_REQUEST_REFUSED, "request refused" },
   { JL_RECORD_REQUEST_FAILED, "request failed" },
   { JL_RECORD_REQUEST_SERVED, "request served" },
@@ -31,28 +33,28 @@
   { JL_RECORD_WORK_FAILED, "work failed" },
   { JL_RECORD_WORK_SERVED, "work served" },
   { JL_RECORD_ANSWER_DROPPED, "answer dropped" },
-  { JL_RECORD_TARGET, "own target" },
+  { JL_RECORD_TARGET_CHANGED, "own target" },
   { JL_RECORD_TARGET_HEARTBEAT_REFUSED, "heartbeat refused" },
   { JL_RECORD_LEAVING_ACKNOWLEDGED, "leaving acknowledged" },
-  { JL_RECORD_MEMBER, "member" },
-  { JL_RECORD_SITE, "configuration installed" },
+  { JL_RECORD_MEMBER_CHANGED, "member" },
+  { JL_RECORD_SITE_INSTALLED, "configuration installed" },
   { JL_RECORD_SITE_REFUSED, "configuration refused" },
-  { JL_RECORD_SHED, "refused share" },
+  { JL_RECORD_SHED_SHARE, "refused share" },
   { JL_RECORD_CALL_GRAPH, "call graph" },
-  { JL_RECORD_STORE, "store" },
+  { JL_RECORD_STORE_REACHABILITY, "store" },
   { JL_RECORD_STARTED, "started" },
   { JL_RECORD_STOPPING, "stopping" },
   { JL_RECORD_STOPPED, "stopped" },
   { JL_RECORD_RELOADED, "settings reloaded" },
   { JL_RECORD_RELOAD_REFUSED, "settings refused" },
-  { JL_RECORD_LEFT_OUT, "lines left out" },
+  { JL_RECORD_LINES_DROPPED, "lines left out" },
 };
 
-static char buffer[BUFFER_BYTES];
-static size_t used;
+static char buffer[BUFFER_BYTES_MAX];
+static size_t buffered;
 static uint64_t second;
-static unsigned written[JL_RECORD_WEIGHTS];
-static unsigned left_out[JL_RECORD_WEIGHTS];
+static unsigned written_lines[JL_RECORD_PRIORITY_COUNT];
+static unsigned dropped_lines[JL_RECORD_PRIORITY_COUNT];
 
 void
 jl_record_open (void)
@@ -64,91 +66,97 @@
 }
 
 static const char *
-text_of (enum jl_record_number number)
+name_of (enum jl_record_event event)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (catalogue); i++)
-    if (catalogue[i].number == number)
-      return catalogue[i].text;
+  for (size_t i = 0; i < G_N_ELEMENTS (event_names); i++)
+    if (event_names[i].event == event)
+      return event_names[i].name;
   return "unknown event";
 }
 
-/* Writes the number, the event and the time; the pairs follow. */
+/* Writes the number and the name of the event and the time to the buffer. The
+ * caller appends the key-value pairs. @size receives the number of bytes.
+ * Returns false if the buffer is full. */
 static bool
-begin_line (enum jl_record_number number, size_t *size)
+begin_line (enum jl_record_event event, size_t *size)
 {
-  size_t room = sizeof buffer - used;
-  int done = snprintf (buffer + used, room, "E%03d %s t=%.3f ", (int)number,
-                       text_of (number), (double)g_get_real_time () / 1e6);
+  size_t space = sizeof buffer - buffered;
+  int length
+      = snprintf (buffer + buffered, space, "E%03d %s t=%.3f ", (int)event,
+                  name_of (event), (double)g_get_real_time () / 1e6);
 
-  *size = (size_t)done;
-  return done >= 0 && *size < room;
+  *size = (size_t)length;
+  return length >= 0 && *size < space;
 }
 
+/* Resets the rate limits and logs how many lines were dropped in the previous
+ * second. */
 static void
 begin_second (uint64_t now)
 {
   unsigned total = 0;
-  unsigned before[JL_RECORD_WEIGHTS];
+  unsigned previous[JL_RECORD_PRIORITY_COUNT];
 
-  memcpy (before, left_out, sizeof before);
-  memset (written, 0, sizeof written);
-  memset (left_out, 0, sizeof left_out);
+  memcpy (previous, dropped_lines, sizeof previous);
+  memset (written_lines, 0, sizeof written_lines);
+  memset (dropped_lines, 0, sizeof dropped_lines);
   second = now;
-  for (unsigned i = 0; i < JL_RECORD_WEIGHTS; i++)
-    total += before[i];
+  for (unsigned i = 0; i < JL_RECORD_PRIORITY_COUNT; i++)
+    total += previous[i];
   if (total > 0)
-    jl_record (JL_RECORD_CHANGE, JL_RECORD_LEFT_OUT,
-               "changes=%u failures=%u successes=%u", before[JL_RECORD_CHANGE],
-               before[JL_RECORD_FAILURE], before[JL_RECORD_SUCCESS]);
+    jl_record (JL_RECORD_CHANGE, JL_RECORD_LINES_DROPPED,
+               "changes=%u failures=%u successes=%u",
+               previous[JL_RECORD_CHANGE], previous[JL_RECORD_FAILURE],
+               previous[JL_RECORD_SUCCESS]);
 }
 
 bool
-jl_record_wanted (enum jl_record_weight weight)
+jl_record_allowed (enum jl_record_priority priority)
 {
   uint64_t now = jl_now () / JL_USEC_PER_SEC;
 
   if (now != second)
     begin_second (now);
-  if (written[weight] < lines_per_s[weight])
+  if (written_lines[priority] < lines_per_s[priority])
     return true;
-  left_out[weight]++;
+  dropped_lines[priority]++;
   return false;
 }
 
 void
-jl_record (enum jl_record_weight weight,
-           enum jl_record_number number,
+jl_record (enum jl_record_priority priority,
+           enum jl_record_event event,
            const char *format,
            ...)
 {
   va_list arguments;
   size_t size;
-  size_t room;
-  int more;
+  size_t space;
+  int added;
 
-  if (!jl_record_wanted (weight) || !begin_line (number, &size))
+  if (!jl_record_allowed (priority) || !begin_line (event, &size))
     return;
-  written[weight]++;
-  room = sizeof buffer - used - size;
+  written_lines[priority]++;
+  space = sizeof buffer - buffered - size;
   va_start (arguments, format);
-  more = g_vsnprintf (buffer + used + size, room, format, arguments);
+  added = g_vsnprintf (buffer + buffered + size, space, format, arguments);
   va_end (arguments);
-  if (more < 0 || (size_t)more >= room)
+  if (added < 0 || (size_t)added >= space)
     return;
-  used += size + (size_t)more;
-  buffer[used++] = '\n';
+  buffered += size + (size_t)added;
+  buffer[buffered++] = '\n';
 }
 
 void
 jl_record_flush (void)
 {
-  ssize_t done;
+  ssize_t length;
 
-  if (used == 0)
+  if (buffered == 0)
     return;
-  done = write (STDOUT_FILENO, buffer, used);
-  if (done <= 0)
+  length = write (STDOUT_FILENO, buffer, buffered);
+  if (length <= 0)
     return;
-  memmove (buffer, buffer + done, used - (size_t)done);
-  used -= (size_t)done;
+  memmove (buffer, buffer + length, buffered - (size_t)length);
+  buffered -= (size_t)length;
 }
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -1,12 +1,14 @@
 /**
- * DOC: Beacons: what each daemon tells all others of itself, by datagrams.
+ * DOC: Beacons: UDP datagrams in which each daemon announces its state.
  *
- * One goes to the own zone each second. To other zones, where bytes are dear,
- * goes a brief one with what changes all the time every other second, and a
- * full one some times a minute. Both go more often while the target has too
- * much or too little room for its demand, and at once when its state changes or
- * a daemon starts. A lost one is made good by the next. Where a zone has many
- * targets of a service, only some tell a daemon of another zone of themselves.
+ * A daemon sends a full beacon to its own zone every second. Traffic to other
+ * zones is expensive: they get a brief beacon, with only the values that change
+ * often, every two seconds, and a full beacon every five seconds. Beacons are
+ * sent more often while the refused share, the spare capacity or the failure
+ * ratio of the target changes, and at once when its state changes or another
+ * daemon starts. A lost beacon is not resent, as the next one replaces it. If a
+ * zone has many targets of a service, each sends beacons to only a share of the
+ * daemons of other zones.
  */
 
 #include "proxy/proxy.h"
@@ -17,37 +19,51 @@
 #include <math.h>
 #include <string.h>
 
-/* Formats of the datagrams; others are dropped. */
-#define FORMAT_FULL 1
-#define FORMAT_BRIEF 2
-#define DATAGRAM_MAX 1400
-#define PERIOD_US (1000 * JL_USEC_PER_MSEC)
-/* Period towards other zones. */
-#define FAR_PERIOD_US (2000 * JL_USEC_PER_MSEC)
-/* Period of the full ones towards other zones. */
-#define FULL_PERIOD_US (5 * JL_USEC_PER_SEC)
-/* Least time between two to other zones, unless the state has changed. */
-#define FAR_GAP_US (400 * JL_USEC_PER_MSEC)
-/* Period while the refused share matters to the entries. */
-#define BUSY_PERIOD_US (200 * JL_USEC_PER_MSEC)
-/* Least time between two rounds. */
-#define GAP_US (20 * JL_USEC_PER_MSEC)
-/* Change of the refused share or the room that others should hear of. */
-#define CHANGE_MIN 0.03
+/* Formats of the datagrams; datagrams of other formats are dropped. */
+#define BEACON_FORMAT_FULL 1
+#define BEACON_FORMAT_BRIEF 2
+#define DATAGRAM_BYTES_MAX 1400
+/* Period of beacons to the own zone. */
+#define OWN_ZONE_PERIOD_US (1000 * JL_USEC_PER_MSEC)
+/* Period of beacons, brief or full, to other zones. */
+#define OTHER_ZONE_PERIOD_US (2000 * JL_USEC_PER_MSEC)
+/* Period of full beacons to other zones. */
+#define OTHER_ZONE_FULL_PERIOD_US (5 * JL_USEC_PER_SEC)
+/* Minimum interval of beacons to other zones, unless the state has changed. */
+#define OTHER_ZONE_GAP_US (400 * JL_USEC_PER_MSEC)
+/* Period of checks for changed values; the period of beacons to the own zone
+ * while the values keep changing. */
+#define CHECK_PERIOD_US (200 * JL_USEC_PER_MSEC)
+/* Minimum interval of rounds of beacons. */
+#define ROUND_GAP_US (20 * JL_USEC_PER_MSEC)
+/* Change of the refused share that is announced at once. The spare capacity and
+ * the failure ratio use multiples of it. */
+#define CHANGE_MIN_RATIO 0.03
 
+/**
+ * struct jl_beacon - sender and receiver of beacons
+ * @sequence: number of the last beacon sent
+ * @sent_own_zone_us: time of the last beacons to the own zone
+ * @sent_other_zones_us: time of the last beacons to other zones
+ * @sent_full_us: time of the last full beacons to other zones
+ * @sent_shed: refused share last sent to the own zone
+ * @sent_room: spare capacity last sent to the own zone
+ * @sent_failing: failure ratio last sent to the own zone
+ * @buffer: received datagram
+ */
 struct jl_beacon
 {
   struct jl_proxy *proxy;
   uv_udp_t socket;
   struct jl_timer timer;
   uint64_t sequence;
-  uint64_t sent_us;
-  uint64_t sent_far_us;
+  uint64_t sent_own_zone_us;
+  uint64_t sent_other_zones_us;
   uint64_t sent_full_us;
-  double told_shed;
-  double told_room;
-  double told_failing;
-  char buffer[DATAGRAM_MAX];
+  double sent_shed;
+  double sent_room;
+  double sent_failing;
+  char buffer[DATAGRAM_BYTES_MAX];
 };
 
 static void
@@ -79,20 +95,22 @@
                      message->arrivals.arrivals_val[i].count_centi / 100.0);
 }
 
+/* Logs a change that a full beacon announces: a daemon that was not heard, a
+ * new incarnation of the daemon or of its target, or another state. */
 static void
-note_change (const struct jl_member *member,
-             const struct beacon_message *message,
-             uint64_t now_us)
+log_change (const struct jl_member *member,
+            const struct beacon_message *message,
+            uint64_t now_us)
 {
   bool was_heard = jl_member_is_heard (member, now_us);
 
-  if (message->format == FORMAT_BRIEF)
+  if (message->format == BEACON_FORMAT_BRIEF)
     return;
   if (was_heard && member->epoch == message->epoch
       && member->state == (enum jl_target_state)message->state
       && strcmp (member->target, message->target) == 0)
     return;
-  jl_record (JL_RECORD_CHANGE, JL_RECORD_MEMBER,
+  jl_record (JL_RECORD_CHANGE, JL_RECORD_MEMBER_CHANGED,
              "name=%s zone=%s service=%s target=%s state=%s heard_before=%d "
              "sequence=%" PRIu64,
              member->name, message->zone, message->service, message->target,
@@ -100,9 +118,9 @@
              (uint64_t)message->sequence);
 }
 
-/* What only full beacons say. */
+/* Updates the values that only full beacons carry. */
 static void
-take_identity (struct jl_member *member, const struct beacon_message *message)
+update_identity (struct jl_member *member, const struct beacon_message *message)
 {
   copy_text (member->zone, message->zone);
   copy_text (member->service, message->service);
@@ -114,9 +132,9 @@
 }
 
 static void
-take_state (struct jl_member *member,
-            const struct beacon_message *message,
-            uint64_t now_us)
+update_state (struct jl_member *member,
+              const struct beacon_message *message,
+              uint64_t now_us)
 {
   member->epoch = message->epoch;
   member->sequence = message->sequence;
@@ -132,40 +150,42 @@
 }
 
 static bool
-is_near (const struct jl_proxy *proxy, const struct jl_member *member)
+is_same_zone (const struct jl_proxy *proxy, const struct jl_member *member)
 {
   return strcmp (member->zone, proxy->options->zone) == 0;
 }
 
 static void
-take_message (struct jl_proxy *proxy, const struct beacon_message *message)
+handle_message (struct jl_proxy *proxy, const struct beacon_message *message)
 {
   struct jl_member *member;
   uint64_t now_us = jl_now ();
 
-  if ((message->format != FORMAT_FULL && message->format != FORMAT_BRIEF)
+  if ((message->format != BEACON_FORMAT_FULL
+       && message->format != BEACON_FORMAT_BRIEF)
       || message->state > JL_TARGET_DOWN
       || strcmp (message->name, proxy->options->name) == 0)
     return;
   member = jl_roster_member (&proxy->roster, message->name);
   if (!jl_member_is_newer (member, message->epoch, message->sequence, now_us))
     return;
-  /* A brief one says nothing of a life that is not known yet. */
-  if (message->format == FORMAT_BRIEF && member->epoch != message->epoch)
+  /* A brief beacon does not describe an incarnation that is not known yet. */
+  if (message->format == BEACON_FORMAT_BRIEF && member->epoch != message->epoch)
     return;
-  note_change (member, message, now_us);
+  log_change (member, message, now_us);
   if (member->epoch != message->epoch)
     {
-      /* A new life: its old connections are dead, and it knows nobody. */
-      jl_pool_forget (proxy->peers, member->peer);
-      jl_beacon_soon (proxy->beacon);
+      /* A new incarnation: connections to the previous one are closed, and the
+       * daemon knows no other daemon yet. */
+      jl_pool_forget (proxy->peer_pool, member->peer);
+      jl_beacon_send_soon (proxy->beacon);
     }
-  if (message->format == FORMAT_FULL)
-    take_identity (member, message);
-  member->far = !is_near (proxy, member);
-  take_state (member, message, now_us);
+  if (message->format == BEACON_FORMAT_FULL)
+    update_identity (member, message);
+  member->far = !is_same_zone (proxy, member);
+  update_state (member, message, now_us);
   if (proxy->site == NULL || message->site_version > proxy->site->version)
-    jl_proxy_site_behind (proxy, member);
+    jl_sync_fetch (proxy, member);
 }
 
 static void
@@ -182,10 +202,10 @@
   (void)flags;
   if (size <= 0 || address == NULL)
     return;
-  beacon->proxy->counters.beacons_in++;
+  beacon->proxy->counters.beacons_received++;
   xdrmem_create (&xdr, buffer->base, (u_int)size, XDR_DECODE);
   if (xdr_beacon_message (&xdr, &message))
-    take_message (beacon->proxy, &message);
+    handle_message (beacon->proxy, &message);
   xdr_free ((xdrproc_t)xdr_beacon_message, &message);
 }
 
@@ -234,7 +254,7 @@
   struct beacon_fanout fanout[BEACON_FANOUT_MAX];
   struct beacon_arrival arrivals[BEACON_ARRIVALS_MAX];
   struct beacon_message message = {
-    .format = full ? FORMAT_FULL : FORMAT_BRIEF,
+    .format = full ? BEACON_FORMAT_FULL : BEACON_FORMAT_BRIEF,
     .name = proxy->options->name,
     .zone = full ? proxy->options->zone : none,
     .service = full ? (char *)jl_proxy_service (proxy) : none,
@@ -261,7 +281,7 @@
       message.arrivals.arrivals_len = fill_arrivals (proxy, arrivals);
       message.arrivals.arrivals_val = arrivals;
     }
-  xdrmem_create (&xdr, datagram, DATAGRAM_MAX, XDR_ENCODE);
+  xdrmem_create (&xdr, datagram, DATAGRAM_BYTES_MAX, XDR_ENCODE);
   if (xdr_beacon_message (&xdr, &message))
     size = xdr_getpos (&xdr);
   return size;
@@ -281,14 +301,16 @@
   if (uv_udp_try_send (&beacon->socket, &buffer, 1,
                        (const struct sockaddr *)&address)
       >= 0)
-    beacon->proxy->counters.beacons_out++;
+    beacon->proxy->counters.beacons_sent++;
 }
 
+/* Sends a beacon to all daemons of the own zone, or to the chosen share of the
+ * daemons of other zones. */
 static void
-send_to_zone (struct jl_beacon *beacon, bool near, bool full)
+send_to_members (struct jl_beacon *beacon, bool own_zone, bool full)
 {
   struct jl_proxy *proxy = beacon->proxy;
-  char datagram[DATAGRAM_MAX];
+  char datagram[DATAGRAM_BYTES_MAX];
   size_t size = encode (beacon, full, datagram);
   double share = jl_roster_told_share (&proxy->roster, proxy->self, jl_now ());
 
@@ -298,81 +320,84 @@
           = g_ptr_array_index (proxy->roster.members, i);
 
       if (member == proxy->self || member->peer.port == 0
-          || is_near (proxy, member) != near)
+          || is_same_zone (proxy, member) != own_zone)
         continue;
-      if (near || jl_member_tells (proxy->self, member, share))
+      if (own_zone || jl_member_tells (proxy->self, member, share))
         send_to (beacon, member->peer, datagram, size);
     }
 }
 
 static void
-send_near (struct jl_beacon *beacon)
+send_to_own_zone (struct jl_beacon *beacon)
 {
   const struct jl_proxy *proxy = beacon->proxy;
 
-  beacon->sent_us = jl_now ();
-  beacon->told_shed = proxy->pressure.shed;
-  beacon->told_room = proxy->pressure.room;
-  beacon->told_failing = proxy->self->failing;
-  send_to_zone (beacon, true, true);
+  beacon->sent_own_zone_us = jl_now ();
+  beacon->sent_shed = proxy->pressure.shed;
+  beacon->sent_room = proxy->pressure.room;
+  beacon->sent_failing = proxy->self->failing;
+  send_to_members (beacon, true, true);
 }
 
 static void
-send_far (struct jl_beacon *beacon, bool full)
+send_to_other_zones (struct jl_beacon *beacon, bool full)
 {
-  beacon->sent_far_us = jl_now ();
+  beacon->sent_other_zones_us = jl_now ();
   if (full)
-    beacon->sent_full_us = beacon->sent_far_us;
-  send_to_zone (beacon, false, full);
+    beacon->sent_full_us = beacon->sent_other_zones_us;
+  send_to_members (beacon, false, full);
 }
 
+/* Whether the values have changed enough since the last beacons to the own
+ * zone. */
 static bool
-is_change_due (const struct jl_beacon *beacon)
+has_changed (const struct jl_beacon *beacon)
 {
   const struct jl_pressure *pressure = &beacon->proxy->pressure;
 
-  return fabs (pressure->shed - beacon->told_shed) > CHANGE_MIN
-         || fabs (pressure->room - beacon->told_room) > CHANGE_MIN * 3
-         || fabs (beacon->proxy->self->failing - beacon->told_failing)
-                > CHANGE_MIN * 2
-         || (pressure->shed > 0) != (beacon->told_shed > 0);
+  return fabs (pressure->shed - beacon->sent_shed) > CHANGE_MIN_RATIO
+         || fabs (pressure->room - beacon->sent_room) > CHANGE_MIN_RATIO * 3
+         || fabs (beacon->proxy->self->failing - beacon->sent_failing)
+                > CHANGE_MIN_RATIO * 2
+         || (pressure->shed > 0) != (beacon->sent_shed > 0);
 }
 
 static void
 on_timer (void *context, struct jl_timer *timer)
 {
   struct jl_beacon *beacon = context;
-  uint64_t now_us = jl_now () + GAP_US;
-  uint64_t far_age_us = now_us - beacon->sent_far_us;
-  bool changed = is_change_due (beacon);
-
-  if (now_us - beacon->sent_full_us >= FULL_PERIOD_US)
-    send_far (beacon, true);
-  else if (far_age_us >= FAR_PERIOD_US || (changed && far_age_us >= FAR_GAP_US))
-    send_far (beacon, false);
-  if (changed || now_us - beacon->sent_us >= PERIOD_US)
-    send_near (beacon);
-  jl_loop_after (beacon->proxy->loop, timer, BUSY_PERIOD_US, on_timer, beacon);
+  uint64_t now_us = jl_now () + ROUND_GAP_US;
+  uint64_t other_zones_age_us = now_us - beacon->sent_other_zones_us;
+  bool changed = has_changed (beacon);
+
+  if (now_us - beacon->sent_full_us >= OTHER_ZONE_FULL_PERIOD_US)
+    send_to_other_zones (beacon, true);
+  else if (other_zones_age_us >= OTHER_ZONE_PERIOD_US
+           || (changed && other_zones_age_us >= OTHER_ZONE_GAP_US))
+    send_to_other_zones (beacon, false);
+  if (changed || now_us - beacon->sent_own_zone_us >= OWN_ZONE_PERIOD_US)
+    send_to_own_zone (beacon);
+  jl_loop_after (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer, beacon);
 }
 
 static void
-on_soon (void *context, struct jl_timer *timer)
+on_send_timer (void *context, struct jl_timer *timer)
 {
   struct jl_beacon *beacon = context;
 
-  send_near (beacon);
-  send_far (beacon, true);
-  jl_loop_after (beacon->proxy->loop, timer, BUSY_PERIOD_US, on_timer, beacon);
+  send_to_own_zone (beacon);
+  send_to_other_zones (beacon, true);
+  jl_loop_after (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer, beacon);
 }
 
 void
-jl_beacon_soon (struct jl_beacon *beacon)
+jl_beacon_send_soon (struct jl_beacon *beacon)
 {
   uint64_t now_us = jl_now ();
-  uint64_t due_us = MAX (now_us, beacon->sent_us + GAP_US);
+  uint64_t due_us = MAX (now_us, beacon->sent_own_zone_us + ROUND_GAP_US);
 
-  jl_timer_start (beacon->proxy->loop->timers, &beacon->timer, due_us, on_soon,
-                  beacon);
+  jl_timer_start (beacon->proxy->loop->timers, &beacon->timer, due_us,
+                  on_send_timer, beacon);
 }
 
 struct jl_beacon *
@@ -396,6 +421,7 @@
       g_free (beacon);
       return NULL;
     }
-  jl_loop_after (proxy->loop, &beacon->timer, GAP_US, on_soon, beacon);
+  jl_loop_after (proxy->loop, &beacon->timer, ROUND_GAP_US, on_send_timer,
+                 beacon);
   return beacon;
 }
--- a/source/proxy/call.c
+++ b/source/proxy/call.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The ways in which a request at its entry ends.
+ * DOC: Functions that end a request at the entry.
  */
 
 #include "proxy/call.h"
@@ -8,14 +8,15 @@
 
 #include <string.h>
 
-/* Time after which a refused client may come back, and what chance adds. */
-#define RETRY_AFTER_MS 250
-#define RETRY_AFTER_SPREAD_MS 500
-/* Share of the time left within which it is asked back. */
-#define RETRY_AFTER_PART 4
+/* Minimum Retry-After of a refused request, and the maximum of the random
+ * jitter that is added to it. */
+#define RETRY_AFTER_MIN_MS 250
+#define RETRY_AFTER_JITTER_MS 500
+/* Retry-After is at most the time left until the deadline divided by this. */
+#define RETRY_AFTER_DIVISOR 4
 
 const char *
-jl_call_attempt (const struct jl_call *call)
+jl_call_attempt_id (const struct jl_call *call)
 {
   const char *id
       = jl_head_get (jl_request_head (call->relay.request), JL_WIRE_ATTEMPT);
@@ -30,9 +31,9 @@
 }
 
 void
-jl_call_drop_sending (struct jl_call *call)
+jl_call_cancel_upstream (struct jl_call *call)
 {
-  jl_relay_drop_sending (&call->relay);
+  jl_relay_cancel_upstream (&call->relay);
   if (call->member != NULL)
     call->member->outstanding--;
   call->member = NULL;
@@ -42,7 +43,7 @@
 jl_call_free (struct jl_call *call)
 {
   jl_timer_stop (call->proxy->loop->timers, &call->timer);
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   cds_list_del (&call->link);
   jl_site_drop (call->site);
   jl_relay_clear (&call->relay);
@@ -62,13 +63,13 @@
   if (call->from_target)
     jl_failing_call (&call->proxy->failing);
   jl_request_set_data (request, NULL);
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   jl_request_reply (request, status, lines, body, strlen (body));
   g_free (lines);
   jl_call_free (call);
 }
 
-/* The plan that the request was judged by. */
+/* Returns the admission plan of the request's route, for the log. */
 static const struct jl_plan *
 plan_of (const struct jl_call *call)
 {
@@ -89,19 +90,19 @@
   uint64_t left_ms = call->expires_us > now_us
                          ? (call->expires_us - now_us) / JL_USEC_PER_MSEC
                          : 0;
-  uint64_t after_ms = RETRY_AFTER_MS
-                      + (uint64_t)g_random_int_range (0, RETRY_AFTER_SPREAD_MS);
+  uint64_t after_ms = RETRY_AFTER_MIN_MS
+                      + (uint64_t)g_random_int_range (0, RETRY_AFTER_JITTER_MS);
   const struct jl_plan *plan = plan_of (call);
   char fields[64];
 
-  after_ms = MIN (after_ms, left_ms / RETRY_AFTER_PART);
+  after_ms = MIN (after_ms, left_ms / RETRY_AFTER_DIVISOR);
   proxy->counters.refused++;
   jl_record (
       JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
       "id=%s route=%s reason=%s placements=%u age_ms=%" PRIu64
       " left_ms=%" PRIu64 " retry_after_ms=%" PRIu64 " site=%" PRIx64
       " short_of=%s shed=%.2f keep=%.2f beliefs_age_ms=%" PRIu64,
-      jl_call_attempt (call), call->route != NULL ? call->route->name : "-",
+      jl_call_attempt_id (call), call->route != NULL ? call->route->name : "-",
       reason, call->tried_count, jl_call_age_ms (call), left_ms, after_ms,
       call->site != NULL ? call->site->version : 0, plan->service, plan->shed,
       plan->keep, (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
@@ -117,7 +118,7 @@
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_FAILED,
              "id=%s route=%s status=%u reason=%s member=%s arrivals=%u "
              "age_ms=%" PRIu64,
-             jl_call_attempt (call), call->route->name, status, reason,
+             jl_call_attempt_id (call), call->route->name, status, reason,
              call->tried_count > 0 ? call->tried[call->tried_count - 1]->name
                                    : "-",
              call->arrivals, jl_call_age_ms (call));
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -19,7 +19,7 @@
   for (unsigned i = 0; i < proxy->budget_count; i++)
     if (strcmp (proxy->budgets[i].service, service) == 0)
       return &proxy->budgets[i].budget;
-  if (proxy->budget_count == JL_BUDGET_MAX)
+  if (proxy->budget_count == JL_BUDGET_SERVICES_MAX)
     return NULL;
   entry = &proxy->budgets[proxy->budget_count++];
   g_strlcpy (entry->service, service, sizeof entry->service);
@@ -47,7 +47,7 @@
   for (unsigned i = 0; i < proxy->demand_count; i++)
     if (proxy->demands[i].route == route->key)
       return &proxy->demands[i];
-  if (proxy->demand_count == JL_DEMAND_MAX)
+  if (proxy->demand_count == JL_DEMAND_ROUTES_MAX)
     return NULL;
   demand = &proxy->demands[proxy->demand_count++];
   demand->route = route->key;
@@ -127,7 +127,7 @@
   for (unsigned i = 0; i < proxy->overflow_count; i++)
     if (strcmp (proxy->overflows[i].service, service) == 0)
       return jl_overflow_zone (&proxy->overflows[i], &proxy->roster, draw);
-  if (proxy->overflow_count == JL_OVERFLOW_MAX)
+  if (proxy->overflow_count == JL_OVERFLOW_SERVICES_MAX)
     return proxy->roster.own_zone;
   overflow = &proxy->overflows[proxy->overflow_count++];
   *overflow = jl_overflow_of (&proxy->roster, service, jl_now ());
@@ -147,7 +147,7 @@
           += DEMAND_WEIGHT * (demand->counted / window_s - demand->rate);
       demand->counted = 0;
     }
-  if (proxy->ticks % CLASSIFY_WINDOWS == 0)
+  if (proxy->window_count % CLASSIFY_WINDOWS == 0)
     {
       jl_arrivals_fade (&proxy->self->arrivals);
       classify_routes (proxy);
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -1,10 +1,10 @@
 /**
  * DOC: The entry: requests of clients and of the own target.
  *
- * Each request is sent to the daemon of one target. It goes to another one
- * only if the first cannot have run it, or if it may be repeated and the retry
- * budget allows that. A request is answered as soon as nothing more can come
- * of it.
+ * The entry sends each request to the daemon of one target. It sends the
+ * request to another daemon only if the first target cannot have run it, or if
+ * the request is idempotent and the retry budget allows a retry. The entry
+ * answers the client as soon as no further attempt is possible.
  */
 
 #include "proxy/proxy.h"
@@ -16,16 +16,16 @@
 
 #include <string.h>
 
-/* Bytes of a request's body kept so that it can be sent to another daemon. */
-#define KEPT_BYTES_MAX 262144u
-/* Wait for a daemon to take a connection. */
-#define CONNECT_US (250 * JL_USEC_PER_MSEC)
-/* A target answers this when the time is over. */
+/* Maximum size of a request's body that is buffered for a further attempt. */
+#define KEPT_BODY_BYTES_MAX 262144u
+/* Timeout for sending the first byte of a request to a daemon. */
+#define CONNECT_TIMEOUT_US (250 * JL_USEC_PER_MSEC)
+/* Status of a target's answer when the request's deadline has passed. */
 #define STATUS_GATEWAY_TIMEOUT 504
 
 static void place_call (struct jl_call *call);
 
-/* NULL for none, as a request's data is once it was answered. */
+/* Returns NULL if @relay is NULL, as the data of an answered request is. */
 static struct jl_call *
 call_of (struct jl_relay *relay)
 {
@@ -35,7 +35,7 @@
 static bool
 can_place_again (const struct jl_call *call)
 {
-  return call->tried_count < JL_PLACEMENTS_MAX && !call->kept_lost
+  return call->tried_count < JL_PLACEMENTS_MAX && !call->body_dropped
          && jl_now () < call->expires_us;
 }
 
@@ -45,30 +45,32 @@
   call->proxy->counters.placed_again++;
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_PLACED_AGAIN,
              "id=%s route=%s reason=%s member=%s arrivals=%u age_ms=%" PRIu64,
-             jl_call_attempt (call), call->route->name, reason,
+             jl_call_attempt_id (call), call->route->name, reason,
              call->tried[call->tried_count - 1]->name, call->arrivals,
              jl_call_age_ms (call));
   g_strlcpy (call->reason, reason, sizeof call->reason);
   place_call (call);
 }
 
-/* No target has seen this sending. */
+/* Handles an attempt that has not reached a target. The request is sent to
+ * another daemon without use of the retry budget. */
 static void
-not_arrived (struct jl_call *call, const char *reason)
+handle_not_delivered (struct jl_call *call, const char *reason)
 {
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   if (can_place_again (call))
     place_again (call, reason);
   else
     jl_call_give_up (call, reason);
 }
 
-/* A target has refused it, which counts as a sending to that target. */
+/* Handles a refusal by a target. The refusal counts against the route's maximum
+ * number of attempts, and a further attempt needs the retry budget. */
 static void
-target_refused (struct jl_call *call, const char *reason)
+handle_target_refused (struct jl_call *call, const char *reason)
 {
   call->arrivals++;
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   if (call->arrivals < call->route->attempts_max && can_place_again (call)
       && jl_demand_spend_repeat (call->proxy, call->site, call->route))
     place_again (call, reason);
@@ -76,15 +78,17 @@
     jl_call_give_up (call, reason);
 }
 
-/* A target may have run it. */
+/* Handles an attempt that ended without an answer although a target may have
+ * run the request. Only idempotent requests are retried. */
 static void
-may_have_run (struct jl_call *call, const char *reason)
+handle_unknown_outcome (struct jl_call *call, const char *reason)
 {
-  bool repeatable = call->route->repeat == JL_REPEAT_ANY || JL_OFF ("once");
+  bool repeatable
+      = call->route->repeat == JL_REPEAT_ANY || JL_TEST_DISABLED ("once");
 
   call->arrivals++;
   call->may_have_run = true;
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   if (repeatable && call->arrivals < call->route->attempts_max
       && can_place_again (call)
       && jl_demand_spend_repeat (call->proxy, call->site, call->route))
@@ -94,7 +98,7 @@
 }
 
 static void
-served (struct jl_call *call, unsigned status)
+note_served (struct jl_call *call, unsigned status)
 {
   struct jl_proxy *proxy = call->proxy;
 
@@ -102,11 +106,11 @@
     jl_failing_call (&proxy->failing);
   proxy->counters.served++;
   jl_histogram_add (&proxy->counters.request_time, jl_now () - call->begun_us);
-  if (jl_record_wanted (JL_RECORD_SUCCESS))
+  if (jl_record_allowed (JL_RECORD_SUCCESS))
     jl_record (JL_RECORD_SUCCESS, JL_RECORD_REQUEST_SERVED,
                "id=%s route=%s status=%u member=%s placements=%u "
                "age_ms=%" PRIu64,
-               jl_call_attempt (call), call->route->name, status,
+               jl_call_attempt_id (call), call->route->name, status,
                call->member->name, call->tried_count, jl_call_age_ms (call));
 }
 
@@ -115,25 +119,26 @@
 {
   struct jl_request *request = call->relay.request;
 
-  served (call, jl_upstream_head (call->relay.upstream)->status);
+  note_served (call, jl_upstream_head (call->relay.upstream)->status);
   jl_request_set_data (request, NULL);
   jl_call_free (call);
   jl_request_finish (request);
 }
 
 static void
-pass_answer (struct jl_call *call)
+start_answer (struct jl_call *call)
 {
-  if (jl_relay_answer (&call->relay))
+  if (jl_relay_start_answer (&call->relay))
     finish_answer (call);
 }
 
 /*
- * Whether a failure of the target's own is worth another sending. Its answer is
- * dropped then.
+ * Whether a request that the target answered with a server error is retried. If
+ * so, discards the answer and takes the retry from the budget. A request past
+ * its deadline is not retried.
  */
 static bool
-can_repeat_failed (struct jl_call *call)
+prepare_failure_retry (struct jl_call *call)
 {
   if (call->route->repeat != JL_REPEAT_ANY
       || jl_upstream_head (call->relay.upstream)->status
@@ -144,7 +149,7 @@
     return false;
   call->arrivals++;
   call->may_have_run = true;
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   return true;
 }
 
@@ -158,21 +163,21 @@
   char reason[32];
 
   g_strlcpy (reason, field != NULL ? field : "", sizeof reason);
-  if (outcome == NULL && head->status >= 500 && can_repeat_failed (call))
+  if (outcome == NULL && head->status >= 500 && prepare_failure_retry (call))
     place_again (call, "target-failed");
   else if (outcome == NULL)
-    pass_answer (call);
+    start_answer (call);
   else if (strcmp (outcome, "not-run") != 0)
-    may_have_run (call, reason);
+    handle_unknown_outcome (call, reason);
   else if (strcmp (reason, "target-refused") == 0)
-    target_refused (call, reason);
+    handle_target_refused (call, reason);
   else if (strcmp (reason, "expired") == 0)
     {
-      jl_call_drop_sending (call);
+      jl_call_cancel_upstream (call);
       jl_call_give_up (call, reason);
     }
   else
-    not_arrived (call, reason);
+    handle_not_delivered (call, reason);
 }
 
 static void
@@ -182,16 +187,18 @@
   finish_answer (call_of (context));
 }
 
-/* The answer broke off on its way: the client must see that. */
+/* Ends a request whose answer broke off after its head was passed on. Closes
+ * the client's connection, so that the client sees that the answer is
+ * incomplete. */
 static void
-break_call (struct jl_call *call)
+abort_call (struct jl_call *call)
 {
   struct jl_request *request = call->relay.request;
 
   call->proxy->counters.failed++;
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_FAILED,
              "id=%s route=%s reason=answer-broken member=%s age_ms=%" PRIu64,
-             jl_call_attempt (call), call->route->name, call->member->name,
+             jl_call_attempt_id (call), call->route->name, call->member->name,
              jl_call_age_ms (call));
   jl_request_set_data (request, NULL);
   jl_call_free (call);
@@ -206,16 +213,16 @@
   struct jl_call *call = call_of (context);
 
   (void)upstream;
-  if (call->relay.passing)
+  if (call->relay.answer_started)
     {
-      break_call (call);
+      abort_call (call);
       return;
     }
   jl_member_avoid (call->member, jl_now ());
   if (failure == JL_UPSTREAM_NOT_SENT)
-    not_arrived (call, "member-unreachable");
+    handle_not_delivered (call, "member-unreachable");
   else
-    may_have_run (call, "member-lost");
+    handle_unknown_outcome (call, "member-lost");
 }
 
 static const struct jl_upstream_ops upstream_ops = {
@@ -229,7 +236,7 @@
 static void
 expire_call (struct jl_call *call)
 {
-  jl_call_drop_sending (call);
+  jl_call_cancel_upstream (call);
   jl_call_fail (call, 504, "deadline");
 }
 
@@ -238,9 +245,9 @@
 {
   struct jl_call *call = context;
 
-  if (call->relay.passing)
+  if (call->relay.answer_started)
     return;
-  if (jl_now () >= call->expires_us && !JL_OFF ("deadline"))
+  if (jl_now () >= call->expires_us && !JL_TEST_DISABLED ("deadline"))
     {
       expire_call (call);
       return;
@@ -251,7 +258,7 @@
       || !jl_upstream_untouched (call->relay.upstream))
     return;
   jl_member_avoid (call->member, jl_now ());
-  not_arrived (call, "connect-timeout");
+  handle_not_delivered (call, "connect-timeout");
 }
 
 static bool
@@ -259,7 +266,7 @@
 {
   struct jl_proxy *proxy = call->proxy;
   const struct jl_head *head = jl_request_head (call->relay.request);
-  struct jl_work_line work = {
+  struct jl_work_header work = {
     .rank = call->route->rank,
     .left_ms = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
     .goal_ms = (unsigned)(call->route->goal_us / JL_USEC_PER_MSEC),
@@ -271,7 +278,7 @@
   g_strlcpy (work.service, call->service, sizeof work.service);
   text = jl_headers_to_guard (head, &work, jl_proxy_service (proxy));
   call->relay.upstream = jl_upstream_open (
-      proxy->peers, call->member->peer, false, text,
+      proxy->peer_pool, call->member->peer, false, text,
       strcmp (head->method, "HEAD") == 0, &upstream_ops, &call->relay);
   g_string_free (text, TRUE);
   return call->relay.upstream != NULL;
@@ -300,15 +307,16 @@
   if (!open_upstream (call))
     {
       jl_member_avoid (member, now_us);
-      not_arrived (call, "no-connection");
+      handle_not_delivered (call, "no-connection");
       return;
     }
   jl_timer_start (proxy->loop->timers, &call->timer,
-                  MIN (call->expires_us, now_us + CONNECT_US), on_timer, call);
-  jl_relay_kept (&call->relay);
+                  MIN (call->expires_us, now_us + CONNECT_TIMEOUT_US), on_timer,
+                  call);
+  jl_relay_send_kept_body (&call->relay);
 }
 
-/* The service of this request: each gets its part, request by request. */
+/* Chooses a service at random, by the weights of the route's split. */
 static const char *
 choose_service (const struct jl_route *route)
 {
@@ -344,7 +352,7 @@
 }
 
 static void
-begin_from_target (struct jl_call *call)
+start_target_call (struct jl_call *call)
 {
   struct jl_proxy *proxy = call->proxy;
 
@@ -355,7 +363,7 @@
 }
 
 static void
-begin_from_client (struct jl_call *call)
+start_client_request (struct jl_call *call)
 {
   struct jl_proxy *proxy = call->proxy;
   struct jl_demand *demand = jl_demand_of (proxy, call->route);
@@ -415,7 +423,7 @@
     {
       jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
                  "id=%s reason=no-route host=%s target=%.80s site=%" PRIx64,
-                 jl_call_attempt (call), host != NULL ? host : "-",
+                 jl_call_attempt_id (call), host != NULL ? host : "-",
                  jl_head_target (head), call->site->version);
       jl_call_answer (call, 404, "", "no-route");
       return;
@@ -430,9 +438,9 @@
   jl_arrivals_add (&proxy->self->arrivals, call->route->key, 1);
   call->from_target = jl_demand_is_call (proxy, call->route->key);
   if (call->from_target)
-    begin_from_target (call);
+    start_target_call (call);
   else
-    begin_from_client (call);
+    start_client_request (call);
 }
 
 static void
@@ -444,7 +452,7 @@
   struct jl_call *call = call_of (jl_request_data (request));
 
   (void)context;
-  if (call == NULL || call->relay.passing)
+  if (call == NULL || call->relay.answer_started)
     return;
   call->body_bytes += size;
   if (call->body_bytes > call->site->body_bytes)
@@ -452,13 +460,15 @@
       jl_call_answer (call, 413, "", "too-large");
       return;
     }
-  if (call->relay.kept->len + size <= KEPT_BYTES_MAX && !call->kept_lost)
-    g_byte_array_append (call->relay.kept, (const guint8 *)data, (guint)size);
+  if (call->relay.kept_body->len + size <= KEPT_BODY_BYTES_MAX
+      && !call->body_dropped)
+    g_byte_array_append (call->relay.kept_body, (const guint8 *)data,
+                         (guint)size);
   else
-    call->kept_lost = true;
+    call->body_dropped = true;
   if (call->relay.upstream == NULL)
     return;
-  jl_relay_body (&call->relay, data, size);
+  jl_relay_send_body (&call->relay, data, size);
 }
 
 static void
@@ -469,10 +479,11 @@
   (void)context;
   if (call == NULL)
     return;
-  call->proxy->counters.left++;
+  call->proxy->counters.clients_left++;
   jl_record (JL_RECORD_FAILURE, JL_RECORD_CLIENT_LEFT,
-             "id=%s route=%s member=%s age_ms=%" PRIu64, jl_call_attempt (call),
-             call->route->name, call->member != NULL ? call->member->name : "-",
+             "id=%s route=%s member=%s age_ms=%" PRIu64,
+             jl_call_attempt_id (call), call->route->name,
+             call->member != NULL ? call->member->name : "-",
              jl_call_age_ms (call));
   jl_call_free (call);
 }
@@ -494,8 +505,8 @@
 
   cds_list_for_each_entry_safe (
       call, next, &proxy->calls,
-      link) if (call->member != NULL && !call->relay.passing
+      link) if (call->member != NULL && !call->relay.answer_started
                 && call->route->repeat == JL_REPEAT_ANY
                 && !jl_member_is_heard (call->member, now_us))
-      may_have_run (call, "member-silent");
+      handle_unknown_outcome (call, "member-silent");
 }
--- a/source/proxy/headers.c
+++ b/source/proxy/headers.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Heads of messages as they are passed on.
+ * DOC: Rewrites the heads of requests and answers that are passed on.
  */
 
 #include "proxy/proxy.h"
@@ -9,17 +9,20 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Fields that this product sets itself, whatever was sent. */
+/* Whether a field is internal to the proxies. Such fields are never passed on:
+ * a proxy sets them itself. */
 static bool
-is_own_field (const char *name)
+is_internal_field (const char *name)
 {
   return g_ascii_strncasecmp (name, "Jl-", 3) == 0;
 }
 
+/* Whether the entry or the guard sets a field, whatever the client sent. */
 static bool
 is_set_by_entry (const char *name)
 {
-  return is_own_field (name) || g_ascii_strcasecmp (name, JL_WIRE_CALLER) == 0
+  return is_internal_field (name)
+         || g_ascii_strcasecmp (name, JL_WIRE_CALLER) == 0
          || g_ascii_strcasecmp (name, JL_WIRE_DEADLINE) == 0
          || g_ascii_strcasecmp (name, JL_WIRE_TARGET) == 0;
 }
@@ -55,7 +58,7 @@
 
 GString *
 jl_headers_to_guard (const struct jl_head *head,
-                     const struct jl_work_line *work,
+                     const struct jl_work_header *work,
                      const char *caller)
 {
   GString *text = g_string_sized_new (512);
@@ -81,7 +84,8 @@
 
   append_first_line (text, head);
   for (size_t i = 0; i < head->fields->len; i++)
-    if (!is_own_field (jl_head_name (head, i)) && !jl_head_is_hop (head, i))
+    if (!is_internal_field (jl_head_name (head, i))
+        && !jl_head_is_hop (head, i))
       append_field (text, head, i);
   g_string_append_printf (text, "%s: %u\r\n%s: %s\r\n", JL_WIRE_DEADLINE,
                           left_ms, JL_WIRE_TARGET, target);
@@ -90,7 +94,7 @@
 }
 
 bool
-jl_headers_work (const struct jl_head *head, struct jl_work_line *work)
+jl_headers_read_work (const struct jl_head *head, struct jl_work_header *work)
 {
   const char *value = jl_head_get (head, JL_WORK_FIELD);
   int repeatable;
@@ -105,12 +109,13 @@
 }
 
 GString *
-jl_headers_back (const struct jl_head *head)
+jl_headers_to_client (const struct jl_head *head)
 {
   GString *text = g_string_sized_new (256);
 
   for (size_t i = 0; i < head->fields->len; i++)
-    if (!is_own_field (jl_head_name (head, i)) && !jl_head_is_hop (head, i))
+    if (!is_internal_field (jl_head_name (head, i))
+        && !jl_head_is_hop (head, i))
       append_field (text, head, i);
   return text;
 }
--- a/source/proxy/hooks.h
+++ b/source/proxy/hooks.h
@@ -2,23 +2,27 @@
 #define JACKDAWLADDER_PROXY_HOOKS_H
 
 /**
- * DOC: Mechanisms that a test can switch off, to see its check fail.
+ * DOC: Mechanisms that a test can disable, to verify that its check fails
+ * without them.
  *
- * JL_SWITCHED_OFF in the environment names one of them. Without JL_TEST_HOOKS
- * nothing can be switched off.
+ * The environment variable JL_SWITCHED_OFF names one mechanism. In builds
+ * without JL_TEST_HOOKS no mechanism can be disabled. With the mechanism
+ * disabled:
  *
- * - "match": answers to other requests are passed on
- * - "not-run": what may have run is said not to have run
- * - "once": what may not be repeated is sent again
- * - "drain": a target that leaves goes on getting work
- * - "deadline": requests are kept however long they take
+ * - "match": the guard passes on answers that belong to other requests
+ * - "not-run": the guard reports "not-run" for requests that may have run
+ * - "once": the entry retries requests that are not idempotent
+ * - "drain": a target that is leaving still receives work
+ * - "deadline": the entry does not end requests at their deadline
+ * - "left": leave records read from the store are ignored
  */
 
 #ifdef JL_TEST_HOOKS
 #  include <glib.h>
-#  define JL_OFF(name) (g_strcmp0 (g_getenv ("JL_SWITCHED_OFF"), name) == 0)
+#  define JL_TEST_DISABLED(name)                                               \
+    (g_strcmp0 (g_getenv ("JL_SWITCHED_OFF"), name) == 0)
 #else
-#  define JL_OFF(name) false
+#  define JL_TEST_DISABLED(name) false
 #endif
 
 #endif
--- a/source/proxy/main.c
+++ b/source/proxy/main.c
@@ -1,5 +1,6 @@
 /**
- * DOC: jackdawladder-proxy, the proxy beside a target on the users' platform.
+ * DOC: jackdawladder-proxy, the proxy that runs beside each target instance on
+ * the users' platform.
  */
 
 #include <argp.h>
@@ -7,8 +8,8 @@
 
 #include "proxy/proxy.h"
 
-#define EXIT_SETTINGS 1
-#define EXIT_SOCKETS 3
+#define EXIT_SETTINGS_REFUSED 1
+#define EXIT_SOCKET_FAILED 3
 
 const char *argp_program_version = "jackdawladder-proxy 0.2";
 
@@ -21,12 +22,14 @@
 
 static const struct argp_option arguments[] = {
   { "settings", 's', "FILE", 0, "Settings of this process", 0 },
-  { "check", 'c', NULL, 0, "Check the settings and end", 0 },
+  { "check", 'c', NULL, 0, "Check the settings and exit", 0 },
   { 0 },
 };
 
 /**
- * struct command - what was asked for on the command line
+ * struct command - parsed command line
+ * @path: settings file
+ * @check: only check the settings
  */
 struct command
 {
@@ -74,11 +77,11 @@
     {
       fprintf (stderr, "jackdawladder-proxy: %s: %s\n", command.path,
                error->message);
-      return EXIT_SETTINGS;
+      return EXIT_SETTINGS_REFUSED;
     }
   if (command.check)
     return EXIT_SUCCESS;
   jl_record_open ();
   proxy = jl_proxy_new (options, command.path);
-  return proxy != NULL ? jl_proxy_run (proxy) : EXIT_SOCKETS;
+  return proxy != NULL ? jl_proxy_run (proxy) : EXIT_SOCKET_FAILED;
 }
--- a/source/proxy/options.c
+++ b/source/proxy/options.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Settings of one proxy process.
+ * DOC: Parser of the settings of one proxy process.
  */
 
 #include "proxy/options.h"
@@ -10,9 +10,10 @@
 #include <math.h>
 #include <xxhash.h>
 
-#define SECONDS_MAX 86400.0
-#define RATIO_MAX 100.0
-#define SLACK_MAX 1e9
+/* Limits of the settings. */
+#define DURATION_MAX_S 86400.0
+#define RETRY_RATIO_MAX 100.0
+#define RETRY_SLACK_MAX 1e9
 
 static const char *const keys[]
     = { "name",           "zone",      "address",     "service",
@@ -21,11 +22,12 @@
         "heartbeat_s",    "grace_s",   "retry_ratio", "retry_slack",
         "retry_window_s", NULL };
 
+/* Reads a number from 0 to @max, which may have a fraction. */
 static double
-read_fraction (struct jl_reader *reader,
-               struct json_object *document,
-               const char *key,
-               double most)
+read_ratio (struct jl_reader *reader,
+            struct json_object *document,
+            const char *key,
+            double max)
 {
   struct json_object *value = NULL;
   double number;
@@ -38,9 +40,9 @@
       return 0;
     }
   number = json_object_get_double (value);
-  if (!(number >= 0) || number > most)
+  if (!(number >= 0) || number > max)
     jl_reader_fail (reader, key, JL_CONFIG_ERROR_RANGE, "must be from 0 to %g",
-                    most);
+                    max);
   return number;
 }
 
@@ -49,7 +51,7 @@
               struct json_object *document,
               const char *key)
 {
-  double seconds = read_fraction (reader, document, key, SECONDS_MAX);
+  double seconds = read_ratio (reader, document, key, DURATION_MAX_S);
 
   return (uint64_t)llround (seconds * (double)JL_USEC_PER_SEC);
 }
@@ -92,9 +94,9 @@
   options->heartbeat_us = read_seconds (reader, document, "heartbeat_s");
   options->grace_us = read_seconds (reader, document, "grace_s");
   options->retry_ratio
-      = read_fraction (reader, document, "retry_ratio", RATIO_MAX);
+      = read_ratio (reader, document, "retry_ratio", RETRY_RATIO_MAX);
   options->retry_slack
-      = read_fraction (reader, document, "retry_slack", SLACK_MAX);
+      = read_ratio (reader, document, "retry_slack", RETRY_SLACK_MAX);
   options->retry_window_us = read_seconds (reader, document, "retry_window_s");
   if (options->retry_window_us < JL_USEC_PER_SEC)
     jl_reader_fail (reader, "retry_window_s", JL_CONFIG_ERROR_RANGE,
--- a/source/proxy/options.h
+++ b/source/proxy/options.h
@@ -9,23 +9,25 @@
 
 /**
  * struct jl_options - settings of one proxy
- * @name: of this daemon, unique in the site
- * @ip: address of all its ports
- * @service: of the own target, until it announces itself
- * @target: where the own target takes requests
- * @entry: takes requests of clients and of the own target
- * @ready: asked by the platform whether clients should come
- * @announce: takes the own target's heartbeats
- * @peer_port: takes requests (TCP) and beacons (UDP) of other daemons
- * @advertise: where other daemons reach @peer_port, if not at @ip
- * @metrics_port: serves counters and the state
- * @store: the platform's store
- * @heartbeat_us: time between two heartbeats of the target
- * @grace_us: from SIGTERM to the forced end
- * @retry_ratio: repeats allowed for each request to a service
- * @retry_slack: repeats allowed beside those, for all daemons
- * @retry_window_us: sliding window of both
- * @digest: of the text, to see whether it has changed
+ * @name: name of this daemon, unique in the site
+ * @zone: availability zone of this daemon
+ * @service: service of the own target, until the target announces itself
+ * @ip: address of the peer and metrics ports, in host byte order
+ * @target: endpoint at which the own target accepts requests
+ * @entry: listener for requests of clients and of the own target
+ * @ready: listener for the platform's readiness checks
+ * @announce: listener for the own target's heartbeats
+ * @peer_port: port for requests (TCP) and beacons (UDP) of other daemons
+ * @advertise: endpoint at which other daemons reach @peer_port; @ip and
+ *             @peer_port unless set
+ * @metrics_port: port of the metrics and state pages
+ * @store: endpoint of the platform's store
+ * @heartbeat_us: interval of the target's heartbeats
+ * @grace_us: time from SIGTERM until the process is killed
+ * @retry_ratio: retries allowed for each request to a service
+ * @retry_slack: retries allowed in addition, shared by all daemons
+ * @retry_window_us: sliding window of @retry_ratio and @retry_slack
+ * @digest: hash of the settings text, to detect changes
  */
 struct jl_options
 {
@@ -52,12 +54,14 @@
 /**
  * jl_options_load - reads and checks a settings file
  *
- * Return: NULL with @error of JL_CONFIG_ERROR set. Free with g_free().
+ * Return: NULL with @error of JL_CONFIG_ERROR set if the file cannot be read or
+ * is not valid. Free with g_free().
  */
 struct jl_options *jl_options_load (const char *path, GError **error);
 
 /**
- * jl_options_parse - the same from memory
+ * jl_options_parse - parses and checks settings in memory, as
+ * jl_options_load() does for a file
  */
 struct jl_options *
 jl_options_parse (const char *text, size_t size, GError **error);
--- a/source/proxy/pages.c
+++ b/source/proxy/pages.c
@@ -1,6 +1,6 @@
 /**
- * DOC: The addresses beside the ways of requests: readiness, heartbeats of the
- * own target, metrics.
+ * DOC: HTTP listeners that do not forward requests: readiness, heartbeats of
+ * the own target, metrics.
  */
 
 #include "proxy/proxy.h"
@@ -11,11 +11,13 @@
 
 #include <string.h>
 
-/* Largest heartbeat, in bytes. */
+/* Maximum size of a heartbeat. A piece that would exceed it is dropped, so that
+ * a larger heartbeat is refused as malformed. */
 #define HEARTBEAT_BYTES_MAX 65536
-/* Longest wait of a leaving target for the store: it is answered within a
- * second, or asks another daemon. */
-#define LEFT_WAIT_US (300 * JL_USEC_PER_MSEC)
+/* Maximum time for which the answer to a leave announcement waits for the
+ * store. The target expects the answer within a second and otherwise asks
+ * another daemon. */
+#define LEAVE_ACK_TIMEOUT_US (300 * JL_USEC_PER_MSEC)
 
 static void
 answer_text (struct jl_request *request, unsigned status, const char *text)
@@ -47,6 +49,8 @@
                     2);
 }
 
+/* Returns the identifier in the path of an announcement, NULL for other
+ * paths. */
 static const char *
 announced_id (struct jl_request *request)
 {
@@ -57,62 +61,67 @@
   return target + strlen (JL_WIRE_ANNOUNCE_PATH);
 }
 
-/* The target's leaving binds later lives of this daemon only once written. */
+/* Answers the pending leave announcements. A later incarnation of this daemon
+ * knows that the target has left only if the row was written. */
 static void
-acknowledge_left (struct jl_proxy *proxy)
+acknowledge_leave (struct jl_proxy *proxy)
 {
-  jl_timer_stop (proxy->loop->timers, &proxy->left_timer);
-  for (guint i = 0; i < proxy->left_waiting->len; i++)
-    answer_json (g_ptr_array_index (proxy->left_waiting, i), 200);
+  jl_timer_stop (proxy->loop->timers, &proxy->leave_timer);
+  for (guint i = 0; i < proxy->leave_requests->len; i++)
+    answer_json (g_ptr_array_index (proxy->leave_requests, i), 200);
   jl_record (JL_RECORD_CHANGE, JL_RECORD_LEAVING_ACKNOWLEDGED,
              "target=%s written=%d heartbeats=%u", proxy->target.last.id,
-             proxy->left_written, proxy->left_waiting->len);
-  g_ptr_array_set_size (proxy->left_waiting, 0);
+             proxy->left_written, proxy->leave_requests->len);
+  g_ptr_array_set_size (proxy->leave_requests, 0);
 }
 
 void
-jl_pages_left_written (struct jl_proxy *proxy)
+jl_pages_acknowledge_leave (struct jl_proxy *proxy)
 {
-  if (proxy->left_waiting->len > 0)
-    acknowledge_left (proxy);
+  if (proxy->leave_requests->len > 0)
+    acknowledge_leave (proxy);
 }
 
 static void
-on_left_timer (void *context, struct jl_timer *timer)
+on_leave_timer (void *context, struct jl_timer *timer)
 {
   (void)timer;
-  acknowledge_left (context);
+  acknowledge_leave (context);
 }
 
+/* Answers a leave announcement once the store has acknowledged the row that
+ * records it, or after a timeout. */
 static void
-answer_leaving (struct jl_proxy *proxy, struct jl_request *request)
+answer_leave (struct jl_proxy *proxy, struct jl_request *request)
 {
-  jl_rows_keep_left (proxy);
+  jl_rows_write_left (proxy);
   if (proxy->left_written)
     {
       answer_json (request, 200);
       return;
     }
-  if (proxy->left_waiting->len == 0)
-    jl_loop_after (proxy->loop, &proxy->left_timer, LEFT_WAIT_US, on_left_timer,
-                   proxy);
-  g_ptr_array_add (proxy->left_waiting, request);
+  if (proxy->leave_requests->len == 0)
+    jl_loop_after (proxy->loop, &proxy->leave_timer, LEAVE_ACK_TIMEOUT_US,
+                   on_leave_timer, proxy);
+  g_ptr_array_add (proxy->leave_requests, request);
 }
 
 static void
-take_leave (struct jl_proxy *proxy, struct jl_request *request, const char *id)
+handle_leave (struct jl_proxy *proxy,
+              struct jl_request *request,
+              const char *id)
 {
   if (jl_target_leave (&proxy->target, id,
                        (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
     jl_proxy_target_changed (proxy, "left");
-  answer_leaving (proxy, request);
+  answer_leave (proxy, request);
 }
 
 static void
-take_heartbeat (struct jl_proxy *proxy,
-                struct jl_request *request,
-                const char *id,
-                const GByteArray *body)
+handle_heartbeat (struct jl_proxy *proxy,
+                  struct jl_request *request,
+                  const char *id,
+                  const GByteArray *body)
 {
   struct jl_heartbeat heartbeat;
   GError *error = NULL;
@@ -130,7 +139,7 @@
   if (jl_target_heartbeat (&proxy->target, &heartbeat, jl_now ()))
     jl_proxy_target_changed (proxy, "heartbeat");
   if (heartbeat.draining)
-    answer_leaving (proxy, request);
+    answer_leave (proxy, request);
   else
     answer_json (request, 200);
 }
@@ -145,7 +154,7 @@
   if (id == NULL || *id == '\0' || strlen (id) >= JL_TEXT_SIZE)
     answer_json (request, 404);
   else if (strcmp (method, "DELETE") == 0)
-    take_leave (proxy, request, id);
+    handle_leave (proxy, request, id);
   else if (strcmp (method, "PUT") == 0)
     jl_request_set_data (request, g_byte_array_new ());
   else
@@ -173,7 +182,7 @@
   if (body == NULL)
     return;
   jl_request_set_data (request, NULL);
-  take_heartbeat (context, request, announced_id (request), body);
+  handle_heartbeat (context, request, announced_id (request), body);
   g_byte_array_free (body, TRUE);
 }
 
@@ -183,7 +192,7 @@
   struct jl_proxy *proxy = context;
   GByteArray *body = jl_request_data (request);
 
-  g_ptr_array_remove (proxy->left_waiting, request);
+  g_ptr_array_remove (proxy->leave_requests, request);
   if (body != NULL)
     g_byte_array_free (body, TRUE);
 }
@@ -196,25 +205,25 @@
 };
 
 static void
-print_counter (GString *text, const char *name, uint64_t value)
+append_counter (GString *text, const char *name, uint64_t value)
 {
   g_string_append_printf (text, "jackdawladder_%s %" G_GUINT64_FORMAT "\n",
                           name, (guint64)value);
 }
 
 static void
-print_histogram (GString *text,
-                 const char *name,
-                 const struct jl_histogram *histogram)
+append_histogram (GString *text,
+                  const char *name,
+                  const struct jl_histogram *histogram)
 {
-  uint64_t sum = 0;
+  uint64_t cumulative = 0;
 
   for (unsigned i = 0; i < JL_HISTOGRAM_BUCKETS; i++)
     {
-      sum += histogram->buckets[i];
+      cumulative += histogram->buckets[i];
       g_string_append_printf (
           text, "jackdawladder_%s_ms_bucket{le=\"%u\"} %" G_GUINT64_FORMAT "\n",
-          name, 1u << i, (guint64)sum);
+          name, 1u << i, (guint64)cumulative);
     }
   g_string_append_printf (text,
                           "jackdawladder_%s_ms_sum %.3f\n"
@@ -224,40 +233,40 @@
 }
 
 static void
-print_counters (GString *text, const struct jl_proxy *proxy)
+append_counters (GString *text, const struct jl_proxy *proxy)
 {
   const struct jl_proxy_counters *counters = &proxy->counters;
   const struct jl_store_counters *store = jl_store_counters (proxy->store);
   const struct jl_net_counters *net = jl_net_counters (proxy->net);
 
-  print_counter (text, "requests_total", counters->requests);
-  print_counter (text, "calls_total", counters->calls);
-  print_counter (text, "served_total", counters->served);
-  print_counter (text, "refused_total", counters->refused);
-  print_counter (text, "failed_total", counters->failed);
-  print_counter (text, "clients_left_total", counters->left);
-  print_counter (text, "placed_again_total", counters->placed_again);
-  print_counter (text, "other_zone_total", counters->other_zone);
-  print_counter (text, "work_total", counters->work);
-  print_counter (text, "work_refused_total", counters->work_refused);
-  print_counter (text, "work_lost_total", counters->work_lost);
-  print_counter (text, "answers_dropped_total", counters->answers_dropped);
-  print_counter (text, "beacons_received_total", counters->beacons_in);
-  print_counter (text, "beacons_sent_total", counters->beacons_out);
-  print_counter (text, "store_reads_total", store->reads);
-  print_counter (text, "store_writes_total", store->writes);
-  print_counter (text, "store_failures_total", store->failures);
-  print_counter (text, "connections_accepted_total", net->accepted);
-  print_counter (text, "connections_made_total", net->connected);
-  print_counter (text, "bytes_received_total", net->bytes_in);
-  print_counter (text, "bytes_sent_total", net->bytes_out);
-  print_histogram (text, "request", &counters->request_time);
-  print_histogram (text, "lane", &counters->lane_time);
-  print_histogram (text, "target", &counters->target_time);
+  append_counter (text, "requests_total", counters->requests);
+  append_counter (text, "calls_total", counters->calls);
+  append_counter (text, "served_total", counters->served);
+  append_counter (text, "refused_total", counters->refused);
+  append_counter (text, "failed_total", counters->failed);
+  append_counter (text, "clients_left_total", counters->clients_left);
+  append_counter (text, "placed_again_total", counters->placed_again);
+  append_counter (text, "other_zone_total", counters->other_zone);
+  append_counter (text, "work_total", counters->work);
+  append_counter (text, "work_refused_total", counters->work_refused);
+  append_counter (text, "work_lost_total", counters->work_lost);
+  append_counter (text, "answers_dropped_total", counters->answers_dropped);
+  append_counter (text, "beacons_received_total", counters->beacons_received);
+  append_counter (text, "beacons_sent_total", counters->beacons_sent);
+  append_counter (text, "store_reads_total", store->reads);
+  append_counter (text, "store_writes_total", store->writes);
+  append_counter (text, "store_failures_total", store->failures);
+  append_counter (text, "connections_accepted_total", net->accepted);
+  append_counter (text, "connections_made_total", net->connected);
+  append_counter (text, "bytes_received_total", net->bytes_in);
+  append_counter (text, "bytes_sent_total", net->bytes_out);
+  append_histogram (text, "request", &counters->request_time);
+  append_histogram (text, "lane", &counters->lane_time);
+  append_histogram (text, "target", &counters->target_time);
 }
 
 static void
-print_state (GString *text, const struct jl_proxy *proxy)
+append_state (GString *text, const struct jl_proxy *proxy)
 {
   uint64_t now_us = jl_now ();
 
@@ -293,9 +302,9 @@
   GString *text = g_string_new (NULL);
 
   if (strcmp (target, "/metrics") == 0)
-    print_counters (text, proxy);
+    append_counters (text, proxy);
   else if (strcmp (target, "/state") == 0)
-    print_state (text, proxy);
+    append_state (text, proxy);
   if (text->len > 0)
     answer_text (request, 200, text->str);
   else
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The proxy's life: start, control windows, stop, reload.
+ * DOC: Start, control windows, planned stop and reload of the proxy.
  */
 
 #include "proxy/proxy.h"
@@ -13,30 +13,44 @@
 #include <signal.h>
 #include <string.h>
 
-/* Longest idle time of a connection that is used again. */
-#define PEER_IDLE_US (20 * JL_USEC_PER_SEC)
-#define TARGET_IDLE_US (5 * JL_USEC_PER_SEC)
-/* What a guard leaves open beyond that. */
-#define GUARD_IDLE_US (60 * JL_USEC_PER_SEC)
-#define PEER_IDLE_MAX 64
-/* Share of a target's slots that is not used: it slows down near its end. */
-#define SLOTS_FREE 0.06
-#define LANE_PERIOD_US (20 * JL_USEC_PER_MSEC)
+/* Maximum idle time after which a connection to a daemon or to the own target
+ * is reused. */
+#define PEER_IDLE_MAX_US (20 * JL_USEC_PER_SEC)
+#define TARGET_IDLE_MAX_US (5 * JL_USEC_PER_SEC)
+/* Idle timeout of connections accepted from daemons, from the own target and
+ * for readiness checks. It is longer than the times above, so that the client
+ * side closes an idle connection first. */
+#define SERVER_IDLE_TIMEOUT_US (60 * JL_USEC_PER_SEC)
+/* Maximum number of idle connections to one daemon. */
+#define PEER_IDLE_CONNECTIONS_MAX 64
+/* Share of a target's slots that is left unused, as a target slows down when
+ * nearly all slots are in use. */
+#define SLOTS_RESERVED_RATIO 0.06
+/* Period of checks for expired work in the queue, and of writes of the log. */
+#define QUEUE_PERIOD_US (20 * JL_USEC_PER_MSEC)
+/* Period of checks for idle connections. */
 #define SWEEP_PERIOD_US (500 * JL_USEC_PER_MSEC)
+/* Period of checks for changed settings. */
 #define RELOAD_PERIOD_US (2 * JL_USEC_PER_SEC)
-/* A planned stop serves for at least this long: clients hear of it slowly. */
-#define STAY_US (2500 * JL_USEC_PER_MSEC)
-/* The own target goes on getting work for this long; what it has then ends
- * before the rest of the stay is over. */
-#define GUARD_STAY_US (1700 * JL_USEC_PER_MSEC)
-/* Left of the grace time when requests in progress are cut off. */
-#define CUT_BEFORE_US (400 * JL_USEC_PER_MSEC)
-#define STOP_PERIOD_US (50 * JL_USEC_PER_MSEC)
-/* Time after the start at which a daemon that hears nobody is ready too. */
-#define ALONE_US (1500 * JL_USEC_PER_MSEC)
-/* Windows between two fits of the call graph. */
-#define FANOUT_WINDOWS 3
-#define EXIT_CUT_OFF 4
+/* Minimum time for which requests are served after the start of a planned stop,
+ * as clients learn of it only after a delay. */
+#define STOP_MIN_US (2500 * JL_USEC_PER_MSEC)
+/* Time for which the own target still receives work after the start of a
+ * planned stop. It is shorter than STOP_MIN_US, so that this work completes
+ * within STOP_MIN_US. */
+#define GUARD_OPEN_US (1700 * JL_USEC_PER_MSEC)
+/* Time before the end of the grace period at which the process exits although
+ * requests are in progress. */
+#define STOP_MARGIN_US (400 * JL_USEC_PER_MSEC)
+/* Period of checks whether a planned stop is complete. */
+#define STOP_CHECK_PERIOD_US (50 * JL_USEC_PER_MSEC)
+/* Time after the start at which a daemon becomes ready even if it receives no
+ * beacons of other daemons. */
+#define READY_ALONE_US (1500 * JL_USEC_PER_MSEC)
+/* Number of control windows between two estimates of the call graph. */
+#define FANOUT_PERIOD_WINDOWS 3
+/* Exit status if the grace period ended with requests in progress. */
+#define EXIT_REQUESTS_CANCELLED 4
 
 void
 jl_histogram_add (struct jl_histogram *histogram, uint64_t time_us)
@@ -66,23 +80,25 @@
 
   return proxy->site != NULL && !proxy->stopping
          && (jl_roster_heard (&proxy->roster, now_us) > 1
-             || now_us > proxy->started_us + ALONE_US);
+             || now_us > proxy->started_us + READY_ALONE_US);
 }
 
 bool
 jl_proxy_is_ending (const struct jl_proxy *proxy)
 {
-  return proxy->stopping && jl_now () > proxy->stop_since_us + STAY_US;
+  return proxy->stopping && jl_now () > proxy->stop_since_us + STOP_MIN_US;
 }
 
+/* Returns the number of requests that may run at a target with @slots. */
 static unsigned
 lane_limit (unsigned slots)
 {
-  unsigned unused = (unsigned)ceil (slots * SLOTS_FREE);
+  unsigned unused = (unsigned)ceil (slots * SLOTS_RESERVED_RATIO);
 
   return slots > unused ? slots - unused : 1;
 }
 
+/* Copies the own state into this daemon's entry of the roster. */
 static void
 update_self (struct jl_proxy *proxy)
 {
@@ -91,7 +107,7 @@
   g_strlcpy (self->service, jl_proxy_service (proxy), JL_TEXT_SIZE);
   g_strlcpy (self->target, proxy->target.last.id, JL_TEXT_SIZE);
   self->state = proxy->target.state;
-  if (JL_OFF ("drain") && self->state == JL_TARGET_LEAVING)
+  if (JL_TEST_DISABLED ("drain") && self->state == JL_TARGET_LEAVING)
     self->state = JL_TARGET_UP;
   if (proxy->guard_closed && self->state == JL_TARGET_UP)
     self->state = JL_TARGET_LEAVING;
@@ -108,7 +124,7 @@
 {
   const struct jl_target *target = &proxy->target;
 
-  jl_record (JL_RECORD_CHANGE, JL_RECORD_TARGET,
+  jl_record (JL_RECORD_CHANGE, JL_RECORD_TARGET_CHANGED,
              "state=%s cause=%s target=%s service=%s slots=%u sequence=%" PRIu64
              " born=%" PRIu64 " running=%u",
              jl_target_state_name (target->state), cause, target->last.id,
@@ -117,13 +133,13 @@
   proxy->lane.limit = lane_limit (target->last.slots);
   if (target->state != JL_TARGET_UP)
     {
-      jl_pool_forget (proxy->own, proxy->options->target);
+      jl_pool_forget (proxy->target_pool, proxy->options->target);
       jl_guard_refuse_waiting (
           proxy, target->state == JL_TARGET_LEAVING ? "draining" : "no-target");
     }
   update_self (proxy);
-  jl_beacon_soon (proxy->beacon);
-  jl_guard_pump (proxy);
+  jl_beacon_send_soon (proxy->beacon);
+  jl_guard_run_queue (proxy);
 }
 
 void
@@ -148,7 +164,7 @@
       jl_site_drop (site);
       return;
     }
-  jl_record (JL_RECORD_CHANGE, JL_RECORD_SITE,
+  jl_record (JL_RECORD_CHANGE, JL_RECORD_SITE_INSTALLED,
              "version=%" PRIx64 " before=%" PRIx64 " source=%s routes=%u",
              site->version, proxy->site != NULL ? proxy->site->version : 0,
              source, site->routes->len);
@@ -157,32 +173,34 @@
   g_free (proxy->site_text);
   proxy->site_text = g_memdup2 (text, size);
   proxy->site_size = size;
-  jl_beacon_soon (proxy->beacon);
+  jl_beacon_send_soon (proxy->beacon);
   jl_net_limits (proxy->net, site->head_bytes, site->head_timeout_us,
                  site->idle_timeout_us);
 }
 
 static void
-on_lane_timer (void *context, struct jl_timer *timer)
+on_queue_timer (void *context, struct jl_timer *timer)
 {
   struct jl_proxy *proxy = context;
 
   if (proxy->lane.waiting > 0)
-    jl_guard_pump (proxy);
+    jl_guard_run_queue (proxy);
   jl_record_flush ();
-  jl_loop_after (proxy->loop, timer, LANE_PERIOD_US, on_lane_timer, proxy);
+  jl_loop_after (proxy->loop, timer, QUEUE_PERIOD_US, on_queue_timer, proxy);
 }
 
+/* Logs the share of refused demand: at its start and end, and every tenth
+ * control window in between. */
 static void
-note_shed (struct jl_proxy *proxy, double before)
+log_shed (struct jl_proxy *proxy, double before)
 {
   const struct jl_pressure *pressure = &proxy->pressure;
 
-  if ((before > 0) == (pressure->shed > 0) && proxy->ticks % 10 != 0)
+  if ((before > 0) == (pressure->shed > 0) && proxy->window_count % 10 != 0)
     return;
   if (before <= 0 && pressure->shed <= 0)
     return;
-  jl_record (JL_RECORD_CHANGE, JL_RECORD_SHED,
+  jl_record (JL_RECORD_CHANGE, JL_RECORD_SHED_SHARE,
              "shed=%.3f before=%.3f rate=%.0f capacity=%.0f running=%u "
              "waiting=%u limit=%u hold_ms=%.1f",
              pressure->shed, before, pressure->rate,
@@ -197,17 +215,17 @@
   struct jl_proxy *proxy = context;
   double before = proxy->pressure.shed;
 
-  proxy->ticks++;
+  proxy->window_count++;
   jl_failing_fade (&proxy->failing);
   jl_pressure_window (&proxy->pressure, proxy->lane.limit, proxy->lane.waiting);
-  if (proxy->ticks % FANOUT_WINDOWS == 0)
+  if (proxy->window_count % FANOUT_PERIOD_WINDOWS == 0)
     {
       jl_fanout_window (&proxy->fanout);
       proxy->self->fanout_count = jl_fanout_list (
           &proxy->fanout, proxy->self->fanout, JL_MEMBER_FANOUT_MAX);
     }
-  note_shed (proxy, before);
-  jl_rows_window (proxy);
+  log_shed (proxy, before);
+  jl_rows_update_polling (proxy);
   update_self (proxy);
   jl_demand_window (proxy);
   jl_entry_check_members (proxy);
@@ -221,13 +239,14 @@
   struct jl_proxy *proxy = context;
 
   jl_net_sweep (proxy->net);
-  jl_pool_sweep (proxy->peers);
-  jl_pool_sweep (proxy->own);
+  jl_pool_sweep (proxy->peer_pool);
+  jl_pool_sweep (proxy->target_pool);
   jl_loop_after (proxy->loop, timer, SWEEP_PERIOD_US, on_sweep_timer, proxy);
 }
 
+/* Whether the settings that cannot change without a restart are equal. */
 static bool
-is_same_place (const struct jl_options *a, const struct jl_options *b)
+has_same_identity (const struct jl_options *a, const struct jl_options *b)
 {
   return strcmp (a->name, b->name) == 0 && strcmp (a->zone, b->zone) == 0
          && a->ip == b->ip && a->peer_port == b->peer_port
@@ -235,8 +254,10 @@
          && a->announce.port == b->announce.port;
 }
 
+/* Reads the settings again. @requested: by a signal, so that unchanged settings
+ * are logged too. */
 static void
-reload (struct jl_proxy *proxy, bool asked)
+reload (struct jl_proxy *proxy, bool requested)
 {
   GError *error = NULL;
   struct jl_options *options = jl_options_load (proxy->options_path, &error);
@@ -250,12 +271,12 @@
     }
   if (options->digest == proxy->options->digest)
     {
-      if (asked)
+      if (requested)
         jl_record (JL_RECORD_CHANGE, JL_RECORD_RELOADED, "changed=0");
       g_free (options);
       return;
     }
-  if (!is_same_place (options, proxy->options))
+  if (!has_same_identity (options, proxy->options))
     {
       jl_record (JL_RECORD_CHANGE, JL_RECORD_RELOAD_REFUSED,
                  "cause=\"names, zone and ports need a new start\"");
@@ -277,13 +298,14 @@
   jl_loop_after (proxy->loop, timer, RELOAD_PERIOD_US, on_reload_timer, proxy);
 }
 
-/* The daemon is about to go: others send its target no more work. */
+/* Announces that the target takes no more work, as the daemon is about to
+ * exit. */
 static void
 close_guard (struct jl_proxy *proxy)
 {
   proxy->guard_closed = true;
   update_self (proxy);
-  jl_beacon_soon (proxy->beacon);
+  jl_beacon_send_soon (proxy->beacon);
 }
 
 static void
@@ -291,24 +313,28 @@
 {
   struct jl_proxy *proxy = context;
   uint64_t age_us = jl_now () - proxy->stop_since_us;
-  bool idle = cds_list_empty (&proxy->calls) && cds_list_empty (&proxy->works);
+  bool idle
+      = cds_list_empty (&proxy->calls) && cds_list_empty (&proxy->work_items);
 
-  if (age_us >= GUARD_STAY_US && !proxy->guard_closed)
+  if (age_us >= GUARD_OPEN_US && !proxy->guard_closed)
     close_guard (proxy);
-  if (age_us >= STAY_US && idle)
+  if (age_us >= STOP_MIN_US && idle)
     {
       jl_loop_stop (proxy->loop);
       return;
     }
-  if (age_us + CUT_BEFORE_US >= proxy->options->grace_us)
+  if (age_us + STOP_MARGIN_US >= proxy->options->grace_us)
     {
-      proxy->exit_status = EXIT_CUT_OFF;
+      proxy->exit_status = EXIT_REQUESTS_CANCELLED;
       jl_loop_stop (proxy->loop);
       return;
     }
-  jl_loop_after (proxy->loop, timer, STOP_PERIOD_US, on_stop_timer, proxy);
+  jl_loop_after (proxy->loop, timer, STOP_CHECK_PERIOD_US, on_stop_timer,
+                 proxy);
 }
 
+/* Begins a planned stop. The entry closes each connection after its answer, so
+ * that clients reconnect to other daemons. */
 static void
 begin_stop (struct jl_proxy *proxy)
 {
@@ -348,7 +374,7 @@
 }
 
 static struct jl_endpoint
-own_port (const struct jl_proxy *proxy, uint16_t port)
+own_endpoint (const struct jl_proxy *proxy, uint16_t port)
 {
   struct jl_endpoint endpoint = { proxy->options->ip, port };
 
@@ -367,26 +393,27 @@
                                     &jl_announce_handler, proxy, why);
   proxy->entry
       = jl_server_open (net, options->entry, &jl_entry_handler, proxy, why);
-  proxy->guard = jl_server_open (net, own_port (proxy, options->peer_port),
+  proxy->guard = jl_server_open (net, own_endpoint (proxy, options->peer_port),
                                  &jl_guard_handler, proxy, why);
-  proxy->metrics = jl_server_open (net, own_port (proxy, options->metrics_port),
-                                   &jl_metrics_handler, proxy, why);
+  proxy->metrics
+      = jl_server_open (net, own_endpoint (proxy, options->metrics_port),
+                        &jl_metrics_handler, proxy, why);
   proxy->beacon = jl_beacon_new (proxy, why);
   if (proxy->ready == NULL || proxy->announce == NULL || proxy->entry == NULL
       || proxy->guard == NULL || proxy->metrics == NULL
       || proxy->beacon == NULL)
     return false;
-  jl_server_idle_timeout (proxy->ready, GUARD_IDLE_US);
-  jl_server_idle_timeout (proxy->announce, GUARD_IDLE_US);
-  jl_server_idle_timeout (proxy->guard, GUARD_IDLE_US);
+  jl_server_idle_timeout (proxy->ready, SERVER_IDLE_TIMEOUT_US);
+  jl_server_idle_timeout (proxy->announce, SERVER_IDLE_TIMEOUT_US);
+  jl_server_idle_timeout (proxy->guard, SERVER_IDLE_TIMEOUT_US);
   return true;
 }
 
 static void
 start_timers (struct jl_proxy *proxy)
 {
-  jl_loop_after (proxy->loop, &proxy->lane_timer, LANE_PERIOD_US, on_lane_timer,
-                 proxy);
+  jl_loop_after (proxy->loop, &proxy->queue_timer, QUEUE_PERIOD_US,
+                 on_queue_timer, proxy);
   jl_loop_after (proxy->loop, &proxy->control_timer, JL_PRESSURE_WINDOW_US,
                  on_control_timer, proxy);
   jl_loop_after (proxy->loop, &proxy->sweep_timer, SWEEP_PERIOD_US,
@@ -401,7 +428,7 @@
   const struct jl_options *options = proxy->options;
 
   CDS_INIT_LIST_HEAD (&proxy->calls);
-  CDS_INIT_LIST_HEAD (&proxy->works);
+  CDS_INIT_LIST_HEAD (&proxy->work_items);
   jl_lane_init (&proxy->lane);
   jl_pressure_init (&proxy->pressure);
   jl_fanout_init (&proxy->fanout);
@@ -411,9 +438,10 @@
   g_strlcpy (proxy->self->zone, options->zone, JL_TEXT_SIZE);
   proxy->loop = jl_loop_new ();
   proxy->net = jl_net_new (proxy->loop);
-  proxy->peers = jl_pool_new (proxy->net, PEER_IDLE_US, PEER_IDLE_MAX);
-  proxy->own = jl_pool_new (proxy->net, TARGET_IDLE_US, G_MAXUINT);
-  proxy->left_waiting = g_ptr_array_new ();
+  proxy->peer_pool
+      = jl_pool_new (proxy->net, PEER_IDLE_MAX_US, PEER_IDLE_CONNECTIONS_MAX);
+  proxy->target_pool = jl_pool_new (proxy->net, TARGET_IDLE_MAX_US, G_MAXUINT);
+  proxy->leave_requests = g_ptr_array_new ();
 }
 
 struct jl_proxy *
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -4,9 +4,9 @@
 /**
  * DOC: The proxy: one process with one thread beside each target instance.
  *
- * As an entry it takes requests of clients and of its own target, and sends
- * each to the daemon of a target. As a guard it is the only way to its own
- * target. Everything that its parts share is in struct jl_proxy.
+ * The entry accepts requests from clients and from the instance's own target,
+ * and forwards each request to the daemon of a target. The guard is the only
+ * path to the own target. All modules of the proxy share struct jl_proxy.
  */
 
 #include "jackdawladder/record.h"
@@ -21,17 +21,22 @@
 
 #include "store.h"
 
-/* Routes of clients and of the own target whose demand is tracked. */
-#define JL_DEMAND_MAX 32
-/* Services whose retry budget is tracked. */
-#define JL_BUDGET_MAX 32
-/* Services that the own target calls. */
-#define JL_OVERFLOW_MAX 16
-/* Buckets of a latency histogram; bucket i ends at 2^i ms. */
+/* Number of routes whose demand is tracked: routes of clients and of the own
+ * target. */
+#define JL_DEMAND_ROUTES_MAX 32
+/* Number of services whose retry budget is tracked. */
+#define JL_BUDGET_SERVICES_MAX 32
+/* Number of services called by the own target that are tracked. */
+#define JL_OVERFLOW_SERVICES_MAX 16
+/* Number of buckets of a latency histogram; the upper bound of bucket i is
+ * 2^i ms, and the last bucket also counts all longer times. */
 #define JL_HISTOGRAM_BUCKETS 16
 
 /**
- * struct jl_histogram - how long something took
+ * struct jl_histogram - latency histogram
+ * @buckets: number of samples in each bucket; not cumulative
+ * @count: number of samples
+ * @sum_us: sum of all samples
  */
 struct jl_histogram
 {
@@ -41,7 +46,28 @@
 };
 
 /**
- * struct jl_proxy_counters - for the metrics page
+ * struct jl_proxy_counters - counters and histograms of the metrics page
+ * @requests: requests received from clients
+ * @calls: requests received from the own target
+ * @served: requests whose answer from a target was passed on completely
+ * @refused: requests refused because they have not run
+ * @failed: requests that may have run, passed their deadline or lost their
+ *          answer
+ * @clients_left: requests whose client closed the connection before the answer
+ *                was complete
+ * @placed_again: requests sent to a further daemon
+ * @other_zone: requests sent to a daemon of another zone
+ * @work: requests that the guard accepted for the own target's service
+ * @work_refused: requests that the guard refused
+ * @work_lost: requests sent to the own target for which the guard could not
+ *             pass on a complete answer
+ * @answers_dropped: answers of the own target that belong to another request
+ * @beacons_received: datagrams received, also malformed ones
+ * @beacons_sent: datagrams sent
+ * @request_time: time from a request's arrival at the entry to the end of its
+ *                answer
+ * @lane_time: time spent in the guard's queue
+ * @target_time: time for which a request held a slot of the target
  */
 struct jl_proxy_counters
 {
@@ -50,15 +76,15 @@
   uint64_t served;
   uint64_t refused;
   uint64_t failed;
-  uint64_t left;
+  uint64_t clients_left;
   uint64_t placed_again;
   uint64_t other_zone;
   uint64_t work;
   uint64_t work_refused;
   uint64_t work_lost;
   uint64_t answers_dropped;
-  uint64_t beacons_in;
-  uint64_t beacons_out;
+  uint64_t beacons_received;
+  uint64_t beacons_sent;
   struct jl_histogram request_time;
   struct jl_histogram lane_time;
   struct jl_histogram target_time;
@@ -77,22 +103,34 @@
 struct jl_sync;
 
 /**
- * struct jl_proxy - the process
- * @site: configuration in force, NULL before there is one
- * @site_text: the text that it was read from
- * @planned_us: when the plans of @demands were made
+ * struct jl_proxy - state of the process
+ * @options_path: settings file, read again periodically and on SIGHUP
+ * @peer_pool: connections to other daemons
+ * @target_pool: connections to the own target
+ * @site: configuration in force, NULL until the first one is installed
+ * @site_text: text from which @site was parsed
+ * @site_size: size of @site_text in bytes
+ * @self: this daemon's own entry in @roster
+ * @lane: queue in front of the own target
+ * @demands: demand and admission plan of each route used by clients
+ * @planned_us: monotonic time at which the plans of @demands were computed
  * @call_routes: keys of the routes that carry calls of the own target
- * @overflows: by service that the own target calls
- * @calls: requests in progress here as an entry
- * @works: requests in progress here as a guard
- * @ticks: control windows so far
- * @epoch: wall clock at the start, in microseconds; tells lives apart
+ * @overflows: overflow plan of each service that the own target calls
+ * @calls: requests in progress at the entry, of struct jl_call
+ * @work_items: requests in progress at the guard, of struct jl_work
+ * @leave_requests: leave announcements of the target, answered once the store
+ *                  has acknowledged the row that records them
+ * @left_edition_sent: value of the target's left_edition that was last handed
+ *                     to the store client
+ * @left_written: the store has acknowledged the latest row
+ * @window_count: number of control windows since the start
+ * @epoch: wall clock at the start in microseconds; distinguishes incarnations
+ *         of this daemon
  * @started_us: monotonic clock at the start
- * @left_waiting: announcements of a leaving, unanswered until that is written
- * @left_edition: of the lives that have left, as last given to the store
- * @left_written: the store has them
+ * @stop_since_us: monotonic time at which the planned stop began
  * @stopping: a planned stop has begun
- * @guard_closed: it has come so far that the own target gets no more work
+ * @guard_closed: the planned stop has progressed so far that the own target
+ *                receives no further work
  */
 struct jl_proxy
 {
@@ -100,8 +138,8 @@
   struct jl_net *net;
   struct jl_options *options;
   const char *options_path;
-  struct jl_pool *peers;
-  struct jl_pool *own;
+  struct jl_pool *peer_pool;
+  struct jl_pool *target_pool;
   struct jl_store *store;
   struct jl_beacon *beacon;
   struct jl_site *site;
@@ -115,33 +153,33 @@
   struct jl_failing failing;
   struct jl_fanout fanout;
   unsigned demand_count;
-  struct jl_demand demands[JL_DEMAND_MAX];
+  struct jl_demand demands[JL_DEMAND_ROUTES_MAX];
   uint64_t planned_us;
   unsigned call_route_count;
   uint32_t call_routes[JL_ARRIVALS_MAX];
   unsigned overflow_count;
-  struct jl_overflow overflows[JL_OVERFLOW_MAX];
+  struct jl_overflow overflows[JL_OVERFLOW_SERVICES_MAX];
   unsigned budget_count;
-  struct jl_service_budget budgets[JL_BUDGET_MAX];
+  struct jl_service_budget budgets[JL_BUDGET_SERVICES_MAX];
   struct cds_list_head calls;
-  struct cds_list_head works;
+  struct cds_list_head work_items;
   struct jl_server *entry;
   struct jl_server *guard;
   struct jl_server *ready;
   struct jl_server *announce;
   struct jl_server *metrics;
-  struct jl_timer lane_timer;
+  struct jl_timer queue_timer;
   struct jl_timer control_timer;
   struct jl_timer sweep_timer;
   struct jl_timer stop_timer;
   struct jl_timer reload_timer;
-  struct jl_timer left_timer;
-  GPtrArray *left_waiting;
-  unsigned left_edition;
+  struct jl_timer leave_timer;
+  GPtrArray *leave_requests;
+  unsigned left_edition_sent;
   bool left_written;
   struct jl_sync *sync;
   uv_signal_t signals[3];
-  unsigned ticks;
+  unsigned window_count;
   uint64_t epoch;
   uint64_t started_us;
   uint64_t stop_since_us;
@@ -154,27 +192,31 @@
 /* proxy.c */
 
 /**
- * jl_proxy_new - opens all sockets and begins to serve
+ * jl_proxy_new - opens all sockets and starts to serve
+ * @path: settings file, for reloads
  *
- * Return: NULL when a port cannot be had; that is logged.
+ * Return: NULL if a socket cannot be opened, after logging the cause.
  */
 struct jl_proxy *jl_proxy_new (struct jl_options *options, const char *path);
 
 /**
- * jl_proxy_run - serves until a planned stop has ended
+ * jl_proxy_run - serves until a planned stop has completed
  *
- * Return: the exit status.
+ * Return: the exit status of the process.
  */
 int jl_proxy_run (struct jl_proxy *proxy);
 
 /**
- * jl_proxy_target_changed - the belief about the own target has changed
+ * jl_proxy_target_changed - applies a change of the own target's state,
+ * identity or number of slots
+ * @cause: what caused the change, for the log
  */
 void jl_proxy_target_changed (struct jl_proxy *proxy, const char *cause);
 
 /**
- * jl_proxy_install - puts a configuration in force if it is newer
- * @source: where it came from, for the log
+ * jl_proxy_install - parses a configuration and installs it if its version is
+ * higher than the installed one's
+ * @source: "store" or the name of the daemon that sent it, for the log
  */
 void jl_proxy_install (struct jl_proxy *proxy,
                        const char *text,
@@ -182,21 +224,25 @@
                        const char *source);
 
 /**
- * jl_proxy_service - service of the own target
+ * jl_proxy_service - returns the own target's service: the announced one, or
+ * the one from the settings until the target has announced itself
  */
 const char *jl_proxy_service (const struct jl_proxy *proxy);
 
 /**
- * jl_proxy_ready - whether clients should come
+ * jl_proxy_ready - whether clients should send requests to this daemon
  */
 bool jl_proxy_ready (const struct jl_proxy *proxy);
 
 /**
- * jl_proxy_is_ending - whether a request taken now could be cut off by the end
- * of a planned stop
+ * jl_proxy_is_ending - whether a planned stop may terminate the process before
+ * a request accepted now has completed
  */
 bool jl_proxy_is_ending (const struct jl_proxy *proxy);
 
+/**
+ * jl_histogram_add - adds a sample of @time_us microseconds
+ */
 void jl_histogram_add (struct jl_histogram *histogram, uint64_t time_us);
 
 /* entry.c */
@@ -204,8 +250,8 @@
 extern const struct jl_handler jl_entry_handler;
 
 /**
- * jl_entry_check_members - requests sent to a daemon that is not heard any
- * more go elsewhere if they may be repeated
+ * jl_entry_check_members - retries the idempotent requests that are in progress
+ * at daemons whose beacons have stopped
  */
 void jl_entry_check_members (struct jl_proxy *proxy);
 
@@ -214,12 +260,14 @@
 extern const struct jl_handler jl_guard_handler;
 
 /**
- * jl_guard_pump - lets waiting work run, hands back what cannot end in time
+ * jl_guard_run_queue - refuses queued work that cannot complete before its
+ * deadline, and starts queued work while slots are free
  */
-void jl_guard_pump (struct jl_proxy *proxy);
+void jl_guard_run_queue (struct jl_proxy *proxy);
 
 /**
- * jl_guard_refuse_waiting - the target takes no more work
+ * jl_guard_refuse_waiting - refuses all queued work
+ * @reason: value of the reason header field, and of the log
  */
 void jl_guard_refuse_waiting (struct jl_proxy *proxy, const char *reason);
 
@@ -230,47 +278,55 @@
 extern const struct jl_handler jl_metrics_handler;
 
 /**
- * jl_pages_left_written - the store has acknowledged that the target leaves
+ * jl_pages_acknowledge_leave - answers the pending leave announcements; called
+ * when the store has acknowledged the row that records them
  */
-void jl_pages_left_written (struct jl_proxy *proxy);
+void jl_pages_acknowledge_leave (struct jl_proxy *proxy);
 
 /* sync.c */
 
 /**
- * jl_proxy_site_behind - @member has a newer configuration: asks it for that,
- * unless it comes from the store meanwhile
+ * jl_sync_fetch - requests the newer configuration of @member after a short
+ * delay, unless the store delivers it in the meantime
  */
-void jl_proxy_site_behind (struct jl_proxy *proxy, struct jl_member *member);
+void jl_sync_fetch (struct jl_proxy *proxy, struct jl_member *member);
 
 /**
- * jl_sync_answer - gives the own configuration to another daemon
+ * jl_sync_reply - answers another daemon's request for the configuration
  */
-void jl_sync_answer (struct jl_proxy *proxy, struct jl_request *request);
+void jl_sync_reply (struct jl_proxy *proxy, struct jl_request *request);
 
-/* Path at which daemons ask each other for their configuration. */
-#define JL_SYNC_PATH "/jl/site"
+/* Path at which daemons request the configuration from each other. */
+#define JL_SITE_PATH "/jl/site"
 
 /* beacon.c */
 
+/**
+ * jl_beacon_new - opens the UDP socket and starts to send beacons
+ * @why: receives the reason of a failure
+ *
+ * Return: NULL if the socket cannot be bound.
+ */
 struct jl_beacon *jl_beacon_new (struct jl_proxy *proxy, const char **why);
 
 /**
- * jl_beacon_soon - tells the others now, since something has changed
+ * jl_beacon_send_soon - schedules full beacons to all zones at once, after a
+ * change of state
  */
-void jl_beacon_soon (struct jl_beacon *beacon);
+void jl_beacon_send_soon (struct jl_beacon *beacon);
 
 /* headers.c */
 
 /**
- * struct jl_work_line - what an entry tells a guard, in one header field
- * @service: service that is to run the request
- * @rank: importance
- * @left_ms: time left
- * @goal_ms: time within which the answer earns its full worth
- * @route: the route's key
- * @repeatable: whether the request may run more than once
+ * struct jl_work_header - header field that an entry sends to a guard
+ * @service: service that the request is for
+ * @rank: importance, 0 is the highest
+ * @left_ms: time left until the deadline
+ * @goal_ms: target latency of the route
+ * @route: key of the route
+ * @repeatable: whether the request is idempotent
  */
-struct jl_work_line
+struct jl_work_header
 {
   char service[JL_TEXT_SIZE];
   unsigned rank;
@@ -280,35 +336,45 @@
   bool repeatable;
 };
 
-/* The header field that carries a struct jl_work_line. */
+/* Header field that carries a struct jl_work_header. */
 #define JL_WORK_FIELD "Jl-Work"
-/* In a guard's own answers: "not-run" or "unknown". */
+/* Header field of answers that a guard generates itself: "not-run", or
+ * "unknown" if the request may have run. */
 #define JL_OUTCOME_FIELD "Jl-Outcome"
-/* In a guard's own answers: why. */
+/* Header field of answers that a guard generates itself: the reason. */
 #define JL_REASON_FIELD "Jl-Reason"
 
 /**
- * jl_headers_to_guard - a request's head as an entry sends it on
+ * jl_headers_to_guard - builds the head of a request that an entry forwards to
+ * a guard
+ * @caller: service of this daemon's own target
  */
 GString *jl_headers_to_guard (const struct jl_head *head,
-                              const struct jl_work_line *work,
+                              const struct jl_work_header *work,
                               const char *caller);
 
 /**
- * jl_headers_to_target - a request's head as a guard sends it on
+ * jl_headers_to_target - builds the head of a request that a guard forwards to
+ * its target
+ * @left_ms: time left until the deadline
+ * @target: identifier of the target's incarnation
  */
 GString *jl_headers_to_target (const struct jl_head *head,
                                unsigned left_ms,
                                const char *target);
 
 /**
- * jl_headers_work - reads the field of an entry
+ * jl_headers_read_work - parses the field JL_WORK_FIELD
+ *
+ * Return: false if the field is missing or malformed.
  */
-bool jl_headers_work (const struct jl_head *head, struct jl_work_line *work);
+bool jl_headers_read_work (const struct jl_head *head,
+                           struct jl_work_header *work);
 
 /**
- * jl_headers_back - an answer's field lines as they are passed back
+ * jl_headers_to_client - builds the header lines of an answer that is passed
+ * back, without internal and hop-by-hop fields
  */
-GString *jl_headers_back (const struct jl_head *head);
+GString *jl_headers_to_client (const struct jl_head *head);
 
 #endif
--- a/source/proxy/relay.c
+++ b/source/proxy/relay.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Passing bodies on between a request and its sending.
+ * DOC: Relays bodies between a request and its upstream request.
  */
 
 #include "proxy/relay.h"
@@ -10,20 +10,20 @@
 jl_relay_init (struct jl_relay *relay, struct jl_request *request)
 {
   relay->request = request;
-  relay->kept = g_byte_array_new ();
-  relay->in_chunks = jl_request_head (request)->chunked;
+  relay->kept_body = g_byte_array_new ();
+  relay->chunked = jl_request_head (request)->chunked;
   jl_request_set_data (request, relay);
 }
 
 void
 jl_relay_clear (struct jl_relay *relay)
 {
-  jl_relay_drop_sending (relay);
-  g_byte_array_free (relay->kept, TRUE);
+  jl_relay_cancel_upstream (relay);
+  g_byte_array_free (relay->kept_body, TRUE);
 }
 
 void
-jl_relay_drop_sending (struct jl_relay *relay)
+jl_relay_cancel_upstream (struct jl_relay *relay)
 {
   if (relay->upstream != NULL)
     jl_upstream_drop (relay->upstream);
@@ -31,14 +31,14 @@
 }
 
 bool
-jl_relay_answer (struct jl_relay *relay)
+jl_relay_start_answer (struct jl_relay *relay)
 {
   const struct jl_head *head = jl_upstream_head (relay->upstream);
   const GByteArray *taken = jl_upstream_taken (relay->upstream);
-  GString *fields = jl_headers_back (head);
+  GString *fields = jl_headers_to_client (head);
   bool complete = jl_upstream_complete (relay->upstream);
 
-  relay->passing = true;
+  relay->answer_started = true;
   jl_request_start (relay->request, head->status, fields->str,
                     head->has_length || complete,
                     head->has_length ? head->length : taken->len);
@@ -48,20 +48,20 @@
 }
 
 void
-jl_relay_body (struct jl_relay *relay, const char *data, size_t size)
+jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size)
 {
-  jl_upstream_body (relay->upstream, data, size, relay->in_chunks);
+  jl_upstream_body (relay->upstream, data, size, relay->chunked);
   if (jl_upstream_backlog (relay->upstream) > JL_CONN_HIGH_BYTES)
     jl_request_hold (relay->request, true);
 }
 
 void
-jl_relay_kept (struct jl_relay *relay)
+jl_relay_send_kept_body (struct jl_relay *relay)
 {
-  jl_upstream_body (relay->upstream, (const char *)relay->kept->data,
-                    relay->kept->len, relay->in_chunks);
+  jl_upstream_body (relay->upstream, (const char *)relay->kept_body->data,
+                    relay->kept_body->len, relay->chunked);
   if (jl_request_ended (relay->request))
-    jl_upstream_body_end (relay->upstream, relay->in_chunks);
+    jl_upstream_body_end (relay->upstream, relay->chunked);
 }
 
 void
@@ -92,8 +92,8 @@
   struct jl_relay *relay = jl_request_data (request);
 
   (void)context;
-  if (relay != NULL && relay->upstream != NULL && !relay->passing)
-    jl_upstream_body_end (relay->upstream, relay->in_chunks);
+  if (relay != NULL && relay->upstream != NULL && !relay->answer_started)
+    jl_upstream_body_end (relay->upstream, relay->chunked);
 }
 
 void
--- a/source/proxy/relay.h
+++ b/source/proxy/relay.h
@@ -2,66 +2,70 @@
 #define JACKDAWLADDER_PROXY_RELAY_H
 
 /**
- * DOC: Passing bodies on between a request and its sending, with bounds on
- * what waits in between.
+ * DOC: Relays bodies between a request and its upstream request, with flow
+ * control in both directions to bound the number of buffered bytes.
  *
- * An entry and a guard each embed a relay in what they know of a request. It is
- * the request's data and the context of its sending.
+ * Entry and guard each embed a relay in their state of a request. The relay is
+ * the data of the request and the context of the upstream request.
  */
 
 #include "jackdawladder/request.h"
 #include "jackdawladder/upstream.h"
 
 /**
- * struct jl_relay - a request and its sending
- * @request: the side of who sent it
- * @upstream: its sending, NULL between two
- * @kept: body as far as it is kept
- * @in_chunks: the body comes in chunks
- * @passing: the answer is being passed on
+ * struct jl_relay - a request and its upstream request
+ * @request: request received from the client or the entry
+ * @upstream: current upstream request, NULL while there is none
+ * @kept_body: buffered part of the request's body
+ * @chunked: the request's body uses chunked transfer encoding
+ * @answer_started: the head of the answer has been passed on
  */
 struct jl_relay
 {
   struct jl_request *request;
   struct jl_upstream *upstream;
-  GByteArray *kept;
-  bool in_chunks;
-  bool passing;
+  GByteArray *kept_body;
+  bool chunked;
+  bool answer_started;
 };
 
 /**
- * jl_relay_init - takes over a request whose head is in
+ * jl_relay_init - attaches the relay to a request whose head has been read
  */
 void jl_relay_init (struct jl_relay *relay, struct jl_request *request);
 
 /**
- * jl_relay_clear - ends the sending and frees what was kept
+ * jl_relay_clear - cancels the upstream request and frees the buffered body
  */
 void jl_relay_clear (struct jl_relay *relay);
 
 /**
- * jl_relay_drop_sending - ends the sending in progress, if there is one
+ * jl_relay_cancel_upstream - cancels the upstream request, if there is one
  */
-void jl_relay_drop_sending (struct jl_relay *relay);
+void jl_relay_cancel_upstream (struct jl_relay *relay);
 
 /**
- * jl_relay_answer - begins to pass the answer on, as far as it is in
+ * jl_relay_start_answer - passes on the head of the answer and the part of its
+ * body received so far
  *
- * Return: whether all of it was passed on; the request is not finished yet.
+ * Return: whether the whole answer was passed on; the caller then has to finish
+ * the request.
  */
-bool jl_relay_answer (struct jl_relay *relay);
+bool jl_relay_start_answer (struct jl_relay *relay);
 
 /**
- * jl_relay_body - passes on a piece of the request's body
+ * jl_relay_send_body - passes on a piece of the request's body, and pauses the
+ * sender if too much of it is not sent yet
  */
-void jl_relay_body (struct jl_relay *relay, const char *data, size_t size);
+void jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size);
 
 /**
- * jl_relay_kept - sends the body that is there, and its end if that is too
+ * jl_relay_send_kept_body - sends the buffered body upstream, and ends it if
+ * the whole request was read
  */
-void jl_relay_kept (struct jl_relay *relay);
+void jl_relay_send_kept_body (struct jl_relay *relay);
 
-/* What is the same at entry and guard: of struct jl_upstream_ops, ... */
+/* Members of struct jl_upstream_ops that entry and guard share. */
 
 void jl_relay_on_piece (void *context,
                         struct jl_upstream *upstream,
@@ -69,7 +73,7 @@
                         size_t size);
 void jl_relay_on_drained (void *context, struct jl_upstream *upstream);
 
-/* ... and of struct jl_handler. */
+/* Members of struct jl_handler that entry and guard share. */
 
 void jl_relay_on_end (void *context, struct jl_request *request);
 void jl_relay_on_client_drained (void *context, struct jl_request *request);
--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What the daemon reads from the platform's store and keeps there.
+ * DOC: Rows of the platform's store that the daemon reads and writes.
  */
 
 #include "proxy/rows.h"
@@ -9,26 +9,29 @@
 #include <json-c/json.h>
 #include <string.h>
 
-/* Tables of the store: the operators' configuration; where each daemon is; for
- * each daemon the lives of its target that have left. */
+/* Tables of the store: the operators' configuration; the endpoint of each
+ * daemon; for each daemon the incarnations of its target that have left. */
 #define SITE_TABLE "op"
 #define SITE_KEY "config"
 #define DAEMON_TABLE "daemons"
 #define TARGET_TABLE "targets"
-/* How long a call to the store waits for a change. */
-#define SITE_WAIT_MS 20000
-#define DAEMON_WAIT_MS 25000
-/* Daemons that start together are read together. */
-#define DAEMON_GATHER_US (1 * JL_USEC_PER_SEC)
-/* The same for the daemons of each zone that watch the configuration closely:
- * a call that the store has lost ends soon. The others hear of it from them. */
-#define SITE_WATCH_MS 4000
-#define WATCHERS 2
-/* Changes that the others gather: within the time in which one has to be in
- * force, also for a daemon that hears nobody. */
-#define SITE_GATHER_US (1200 * JL_USEC_PER_MSEC)
-
-/* The object in a row, NULL if it holds none. */
+/* Time for which a long poll of the store waits for a change. */
+#define SITE_POLL_MS 20000
+#define DAEMON_POLL_MS 25000
+/* Pause after each answer of the table of daemons, so that the rows of daemons
+ * that start together are read in one poll. */
+#define DAEMON_BATCH_US (1 * JL_USEC_PER_SEC)
+/* Long poll time of the few daemons of each zone that poll the configuration
+ * frequently, and their number: a poll that the store has lost ends soon. The
+ * other daemons get the configuration from them. */
+#define SITE_FREQUENT_POLL_MS 4000
+#define FREQUENT_POLLERS_MAX 2
+/* Pause after each answer at the other daemons, to receive several changes in
+ * one poll. It is within the time in which a change has to be in force, also at
+ * a daemon that receives no beacons. */
+#define SITE_BATCH_US (1200 * JL_USEC_PER_MSEC)
+
+/* Returns the JSON object in a row, NULL if the row holds no valid object. */
 static struct json_object *
 parse_row (const struct jl_row *row)
 {
@@ -43,8 +46,9 @@
   return NULL;
 }
 
+/* Adds a daemon that no beacon has announced yet. */
 static void
-take_daemon_row (struct jl_proxy *proxy, const struct jl_row *row)
+handle_daemon_row (struct jl_proxy *proxy, const struct jl_row *row)
 {
   struct json_object *document = parse_row (row);
   struct json_object *peer = json_object_object_get (document, "peer");
@@ -60,28 +64,30 @@
         {
           member->peer = endpoint;
           g_strlcpy (member->zone, json_object_get_string (zone), JL_TEXT_SIZE);
-          jl_beacon_soon (proxy->beacon);
+          jl_beacon_send_soon (proxy->beacon);
         }
     }
   json_object_put (document);
 }
 
 static void
-take_left (struct jl_proxy *proxy, struct json_object *left)
+restore_left (struct jl_proxy *proxy, struct json_object *left)
 {
   struct json_object *id = json_object_object_get (left, "target");
   struct json_object *born = json_object_object_get (left, "born_ms");
 
-  if (id == NULL || born == NULL || JL_OFF ("left"))
+  if (id == NULL || born == NULL || JL_TEST_DISABLED ("left"))
     return;
   if (jl_target_restore_left (&proxy->target, json_object_get_string (id),
                               (uint64_t)json_object_get_int64 (born)))
     jl_proxy_target_changed (proxy, "left-before");
 }
 
-/* What an earlier life of this daemon has acknowledged holds for this one. */
+/* Restores the incarnations of the target whose leave an earlier incarnation of
+ * this daemon has acknowledged. Writes the row again if this daemon had changed
+ * it before the row could be read. */
 static void
-take_target_row (struct jl_proxy *proxy, const struct jl_row *row)
+handle_target_row (struct jl_proxy *proxy, const struct jl_row *row)
 {
   struct json_object *document = parse_row (row);
   struct json_object *list = json_object_object_get (document, "left");
@@ -94,13 +100,13 @@
       struct json_object *left = json_object_array_get_idx (list, i);
 
       if (json_object_is_type (left, json_type_object))
-        take_left (proxy, left);
+        restore_left (proxy, left);
     }
   json_object_put (document);
   if (proxy->left_written)
-    proxy->left_edition = proxy->target.left_edition;
+    proxy->left_edition_sent = proxy->target.left_edition;
   else
-    jl_rows_keep_left (proxy);
+    jl_rows_write_left (proxy);
 }
 
 static void
@@ -111,21 +117,21 @@
   if (row->removed || row->value == NULL)
     return;
   if (strcmp (row->table, DAEMON_TABLE) == 0)
-    take_daemon_row (proxy, row);
+    handle_daemon_row (proxy, row);
   else if (strcmp (row->table, TARGET_TABLE) == 0
            && strcmp (row->key, proxy->options->name) == 0)
-    take_target_row (proxy, row);
+    handle_target_row (proxy, row);
   else if (strcmp (row->table, SITE_TABLE) == 0
            && strcmp (row->key, SITE_KEY) == 0)
     jl_proxy_install (proxy, row->value, row->size, "store");
 }
 
 static void
-on_reach (void *context, bool reached, const char *why)
+on_reachability (void *context, bool reached, const char *why)
 {
   const struct jl_proxy *proxy = context;
 
-  jl_record (JL_RECORD_CHANGE, JL_RECORD_STORE,
+  jl_record (JL_RECORD_CHANGE, JL_RECORD_STORE_REACHABILITY,
              "reached=%d cause=\"%s\" site=%" PRIx64, reached,
              reached ? "answered" : why,
              proxy->site != NULL ? proxy->site->version : 0);
@@ -139,17 +145,17 @@
   if (strcmp (table, TARGET_TABLE) != 0)
     return;
   proxy->left_written = true;
-  jl_pages_left_written (proxy);
+  jl_pages_acknowledge_leave (proxy);
 }
 
 static const struct jl_store_ops store_ops = {
   .row = on_row,
-  .reach = on_reach,
+  .reach = on_reachability,
   .written = on_written,
 };
 
 static void
-keep_daemon_row (struct jl_proxy *proxy)
+write_daemon_row (struct jl_proxy *proxy)
 {
   char peer[JL_ENDPOINT_TEXT_SIZE];
   char *value;
@@ -184,13 +190,13 @@
 }
 
 void
-jl_rows_keep_left (struct jl_proxy *proxy)
+jl_rows_write_left (struct jl_proxy *proxy)
 {
   struct json_object *document;
 
-  if (proxy->left_edition == proxy->target.left_edition)
+  if (proxy->left_edition_sent == proxy->target.left_edition)
     return;
-  proxy->left_edition = proxy->target.left_edition;
+  proxy->left_edition_sent = proxy->target.left_edition;
   proxy->left_written = false;
   document = json_object_new_object ();
   json_object_object_add (document, "left", left_list (&proxy->target));
@@ -199,9 +205,10 @@
   json_object_put (document);
 }
 
-/* Whether this daemon is among the first of its zone, by name. */
+/* Whether this daemon is among the first FREQUENT_POLLERS_MAX daemons of its
+ * zone, by name. */
 static bool
-is_watcher (const struct jl_proxy *proxy)
+is_frequent_poller (const struct jl_proxy *proxy)
 {
   unsigned before = 0;
   uint64_t now_us = jl_now ();
@@ -215,16 +222,16 @@
           && strcmp (member->name, proxy->self->name) < 0)
         before++;
     }
-  return before < WATCHERS;
+  return before < FREQUENT_POLLERS_MAX;
 }
 
 void
-jl_rows_window (struct jl_proxy *proxy)
+jl_rows_update_polling (struct jl_proxy *proxy)
 {
-  if (is_watcher (proxy))
-    jl_store_set_pace (proxy->store, SITE_TABLE, SITE_WATCH_MS, 0);
+  if (is_frequent_poller (proxy))
+    jl_store_set_pace (proxy->store, SITE_TABLE, SITE_FREQUENT_POLL_MS, 0);
   else
-    jl_store_set_pace (proxy->store, SITE_TABLE, SITE_WAIT_MS, SITE_GATHER_US);
+    jl_store_set_pace (proxy->store, SITE_TABLE, SITE_POLL_MS, SITE_BATCH_US);
 }
 
 void
@@ -234,7 +241,7 @@
   proxy->store = jl_store_new (proxy->loop, proxy->net, proxy->options->store,
                                &store_ops, proxy);
   jl_store_read (proxy->store, TARGET_TABLE, proxy->options->name);
-  keep_daemon_row (proxy);
-  jl_store_watch (proxy->store, SITE_TABLE, SITE_WATCH_MS, 0);
-  jl_store_watch (proxy->store, DAEMON_TABLE, DAEMON_WAIT_MS, DAEMON_GATHER_US);
+  write_daemon_row (proxy);
+  jl_store_watch (proxy->store, SITE_TABLE, SITE_FREQUENT_POLL_MS, 0);
+  jl_store_watch (proxy->store, DAEMON_TABLE, DAEMON_POLL_MS, DAEMON_BATCH_US);
 }
--- a/source/proxy/rows.h
+++ b/source/proxy/rows.h
@@ -2,27 +2,29 @@
 #define JACKDAWLADDER_PROXY_ROWS_H
 
 /**
- * DOC: What the daemon reads from the platform's store and keeps there: the
- * configuration, where the daemons are, and which lives of its target have
- * left.
+ * DOC: Rows of the platform's store that the daemon reads and writes: the
+ * configuration, the endpoints of the daemons, and the incarnations of the own
+ * target that have left.
  */
 
 #include "proxy/proxy.h"
 
 /**
- * jl_rows_open - makes the client, writes the own row, follows the others
+ * jl_rows_open - creates the store client, writes this daemon's row, reads its
+ * target's row, and watches the configuration and the rows of all daemons
  */
 void jl_rows_open (struct jl_proxy *proxy);
 
 /**
- * jl_rows_keep_left - writes which lives of the own target have left, if that
- * has changed, so that a later life of this daemon knows
+ * jl_rows_write_left - writes the incarnations of the own target that have
+ * left, if the list has changed, so that this daemon knows them after a restart
  */
-void jl_rows_keep_left (struct jl_proxy *proxy);
+void jl_rows_write_left (struct jl_proxy *proxy);
 
 /**
- * jl_rows_window - a control window has ended
+ * jl_rows_update_polling - sets how this daemon polls the configuration;
+ * called once per control window
  */
-void jl_rows_window (struct jl_proxy *proxy);
+void jl_rows_update_polling (struct jl_proxy *proxy);
 
 #endif
--- a/source/proxy/sync.c
+++ b/source/proxy/sync.c
@@ -1,19 +1,22 @@
 /**
- * DOC: Configurations between daemons, for those that the store does not reach.
+ * DOC: Exchange of configurations between daemons, for daemons that cannot
+ * reach the store.
  */
 
 #include "proxy/proxy.h"
 
 #include <string.h>
 
-/* Wait for the store to bring the newer version first. */
-#define DELAY_US (150 * JL_USEC_PER_MSEC)
-#define TIMEOUT_US (1000 * JL_USEC_PER_MSEC)
+/* Delay before a fetch, in which the store may deliver the newer version. */
+#define FETCH_DELAY_US (150 * JL_USEC_PER_MSEC)
+#define FETCH_TIMEOUT_US (1000 * JL_USEC_PER_MSEC)
 
 /**
- * struct jl_sync - one exchange at a time
- * @member: the daemon that has a newer version
- * @active: an exchange has begun, or will after the delay
+ * struct jl_sync - state of the fetch; at most one is in progress
+ * @member: daemon that has a newer version
+ * @upstream: request to @member, NULL during the delay
+ * @timer: the delay, then the timeout
+ * @active: a fetch is in progress or delayed
  */
 struct jl_sync
 {
@@ -88,20 +91,20 @@
       end_sync (sync);
       return;
     }
-  head = g_string_new ("GET " JL_SYNC_PATH " HTTP/1.1\r\nHost: peer\r\n\r\n");
-  sync->upstream = jl_upstream_open (proxy->peers, sync->member->peer, false,
-                                     head, false, &upstream_ops, sync);
+  head = g_string_new ("GET " JL_SITE_PATH " HTTP/1.1\r\nHost: peer\r\n\r\n");
+  sync->upstream = jl_upstream_open (proxy->peer_pool, sync->member->peer,
+                                     false, head, false, &upstream_ops, sync);
   g_string_free (head, TRUE);
   if (sync->upstream != NULL)
     {
       jl_upstream_want_whole (sync->upstream);
       jl_upstream_body_end (sync->upstream, false);
     }
-  jl_loop_after (proxy->loop, timer, TIMEOUT_US, on_timeout, sync);
+  jl_loop_after (proxy->loop, timer, FETCH_TIMEOUT_US, on_timeout, sync);
 }
 
 void
-jl_proxy_site_behind (struct jl_proxy *proxy, struct jl_member *member)
+jl_sync_fetch (struct jl_proxy *proxy, struct jl_member *member)
 {
   struct jl_sync *sync = proxy->sync;
 
@@ -111,18 +114,18 @@
       sync->proxy = proxy;
       proxy->sync = sync;
     }
-  /* Bytes between zones are dear: a near daemon goes before a far one. */
+  /* Traffic between zones is expensive: prefers a daemon of the own zone. */
   if (sync->active && sync->upstream == NULL && !member->far)
     sync->member = member;
   if (sync->active)
     return;
   sync->active = true;
   sync->member = member;
-  jl_loop_after (proxy->loop, &sync->timer, DELAY_US, on_delay, sync);
+  jl_loop_after (proxy->loop, &sync->timer, FETCH_DELAY_US, on_delay, sync);
 }
 
 void
-jl_sync_answer (struct jl_proxy *proxy, struct jl_request *request)
+jl_sync_reply (struct jl_proxy *proxy, struct jl_request *request)
 {
   if (proxy->site == NULL)
     jl_request_reply (request, 404, "", "", 0);
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -1,7 +1,8 @@
 /**
- * DOC: Tests of a whole proxy in the test's process.
+ * DOC: Tests of a complete proxy in the test's process.
  *
- * The store, a peer and the sender of requests are played; time is real.
+ * The store, the peers and the clients are fakes in the same process. The tests
+ * use real sockets and real time.
  */
 
 #include <criterion/criterion.h>
@@ -12,7 +13,7 @@
 #include <unistd.h>
 
 #include "proxy/demand.h"
-#include "proxy/parts/played.h"
+#include "proxy/parts/fake-store.h"
 #include "proxy/proxy.h"
 #include "proxy/rows.h"
 
@@ -25,17 +26,18 @@
 #define STORE_PORT 17007
 #define OTHER_PORT 17008
 
-/* Daemons of two zones. */
-#define MANY 60
+/* Number of daemons, half of them in each of two zones. */
+#define MEMBERS 60
 
 /**
- * struct rig - a proxy called "d5" in zone z1 beside a target of service front
+ * struct rig - a proxy named "d5" in zone z1, beside a target of the service
+ * "front", and its store
  */
 struct rig
 {
   struct jl_options options;
   struct jl_proxy *proxy;
-  struct played played;
+  struct fake_store store;
 };
 
 static struct jl_endpoint
@@ -46,7 +48,8 @@
   return endpoint;
 }
 
-/* Each test has an address of its own: they run beside each other. */
+/* @host: part of the loopback address, which differs by test, as tests run in
+ * parallel. */
 static void
 rig_prepare (struct rig *rig, unsigned host)
 {
@@ -68,13 +71,13 @@
   options->heartbeat_us = JL_USEC_PER_SEC;
   options->grace_us = 6 * JL_USEC_PER_SEC;
   options->retry_window_us = 10 * JL_USEC_PER_SEC;
-  played_open (&rig->played, options->store);
+  fake_store_open (&rig->store, options->store);
 }
 
 static void
-rig_turn (struct rig *rig, unsigned ms)
+rig_run (struct rig *rig, unsigned ms)
 {
-  played_turn (&rig->played, rig->proxy->loop, ms);
+  fake_store_run (&rig->store, rig->proxy->loop, ms);
 }
 
 static void
@@ -82,12 +85,12 @@
 {
   rig->proxy = jl_proxy_new (&rig->options, NULL);
   cr_assert_not_null (rig->proxy);
-  rig_turn (rig, 100);
+  rig_run (rig, 100);
 }
 
-/* Sends a request and returns its connection. */
+/* Sends a request on a new connection and returns the connection. */
 static int
-ask (struct rig *rig, uint16_t port, const char *text)
+send_request (struct rig *rig, uint16_t port, const char *text)
 {
   struct sockaddr_in address = { .sin_family = AF_INET };
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -100,9 +103,9 @@
   return fd;
 }
 
-/* What has come on a connection, "" for nothing. */
+/* Returns the data received on a connection, "" if there is none yet. */
 static const char *
-heard (int fd)
+received (int fd)
 {
   static char answer[4096];
   ssize_t size = recv (fd, answer, sizeof answer - 1, MSG_DONTWAIT);
@@ -111,6 +114,7 @@
   return answer;
 }
 
+/* Sends a heartbeat of the target and expects its acknowledgement. */
 static void
 heartbeat (struct rig *rig, const char *id, unsigned born, unsigned sequence)
 {
@@ -122,28 +126,33 @@
   char *text = g_strdup_printf ("PUT /api/instances/%s HTTP/1.1\r\nHost: a\r\n"
                                 "Content-Length: %zu\r\n\r\n%s",
                                 id, strlen (body), body);
-  int fd = ask (rig, ANNOUNCE_PORT, text);
+  int fd = send_request (rig, ANNOUNCE_PORT, text);
 
-  rig_turn (rig, 50);
-  cr_assert (g_str_has_prefix (heard (fd), "HTTP/1.1 200"));
+  rig_run (rig, 50);
+  cr_assert (g_str_has_prefix (received (fd), "HTTP/1.1 200"));
   close (fd);
   g_free (text);
   g_free (body);
 }
 
+/* Sends a leave announcement of the target and returns the connection. */
 static int
 leave (struct rig *rig, const char *id)
 {
   char *text = g_strdup_printf (
       "DELETE /api/instances/%s HTTP/1.1\r\nHost: a\r\n\r\n", id);
-  int fd = ask (rig, ANNOUNCE_PORT, text);
+  int fd = send_request (rig, ANNOUNCE_PORT, text);
 
   g_free (text);
   return fd;
 }
 
+/* Adds a daemon with an idle target, as if a beacon of it had just come. */
 static struct jl_member *
-add (struct rig *rig, const char *name, const char *zone, const char *service)
+add_member (struct rig *rig,
+            const char *name,
+            const char *zone,
+            const char *service)
 {
   struct jl_member *member = jl_roster_member (&rig->proxy->roster, name);
 
@@ -167,16 +176,17 @@
   rig_prepare (&rig, 1);
   rig_start (&rig);
   heartbeat (&rig, "i-1", 5, 1);
-  rig.played.hold = true;
+  rig.store.hold_writes = true;
   fd = leave (&rig, "i-1");
-  rig_turn (&rig, 100);
-  cr_assert_eq (rig.proxy->target.state, JL_TARGET_LEAVING, "it binds at once");
-  cr_assert_str_eq (heard (fd), "");
-  played_release (&rig.played);
-  rig_turn (&rig, 50);
-  cr_assert (g_str_has_prefix (heard (fd), "HTTP/1.1 200"));
+  rig_run (&rig, 100);
+  cr_assert_eq (rig.proxy->target.state, JL_TARGET_LEAVING,
+                "the leave takes effect at once");
+  cr_assert_str_eq (received (fd), "");
+  fake_store_release_writes (&rig.store);
+  rig_run (&rig, 50);
+  cr_assert (g_str_has_prefix (received (fd), "HTTP/1.1 200"));
   cr_assert_not_null (
-      strstr (played_get (&rig.played, "targets", "d5"), "\"i-1\""));
+      strstr (fake_store_get (&rig.store, "targets", "d5"), "\"i-1\""));
 }
 
 Test (daemon, a_leaving_is_acknowledged_although_the_store_is_away)
@@ -187,10 +197,10 @@
   rig_prepare (&rig, 2);
   rig_start (&rig);
   heartbeat (&rig, "i-1", 5, 1);
-  rig.played.hold = true;
+  rig.store.hold_writes = true;
   fd = leave (&rig, "i-1");
-  rig_turn (&rig, 600);
-  cr_assert (g_str_has_prefix (heard (fd), "HTTP/1.1 200"));
+  rig_run (&rig, 600);
+  cr_assert (g_str_has_prefix (received (fd), "HTTP/1.1 200"));
 }
 
 Test (daemon, a_life_that_left_before_does_not_come_back)
@@ -198,31 +208,32 @@
   struct rig rig;
 
   rig_prepare (&rig, 3);
-  played_put (&rig.played, "targets", "d5",
-              "{\"left\":[{\"target\":\"i-1\",\"born_ms\":5}]}");
+  fake_store_put (&rig.store, "targets", "d5",
+                  "{\"left\":[{\"target\":\"i-1\",\"born_ms\":5}]}");
   rig_start (&rig);
   heartbeat (&rig, "i-1", 5, 7);
   cr_assert_neq (rig.proxy->target.state, JL_TARGET_UP);
   heartbeat (&rig, "i-1", 6, 1);
-  cr_assert_eq (rig.proxy->target.state, JL_TARGET_UP, "a new life");
-  cr_assert_eq (rig.played.writes, 1, "only the daemon's own row");
+  cr_assert_eq (rig.proxy->target.state, JL_TARGET_UP, "a new incarnation");
+  cr_assert_eq (rig.store.writes, 1, "only the daemon's own row");
 }
 
-/* The row could not be read before something had to be written to it. */
+/* Guards against a loss of earlier leave records when the row has to be written
+ * before it could be read. */
 Test (daemon, what_left_before_stays_in_the_row)
 {
   struct rig rig;
   const char *row;
 
   rig_prepare (&rig, 4);
-  played_put (&rig.played, "targets", "d5",
-              "{\"left\":[{\"target\":\"i-1\",\"born_ms\":5}]}");
-  rig.played.silent = "targets";
+  fake_store_put (&rig.store, "targets", "d5",
+                  "{\"left\":[{\"target\":\"i-1\",\"born_ms\":5}]}");
+  rig.store.silent_table = "targets";
   rig_start (&rig);
   heartbeat (&rig, "i-2", 6, 1);
   close (leave (&rig, "i-2"));
-  rig_turn (&rig, 900);
-  row = played_get (&rig.played, "targets", "d5");
+  rig_run (&rig, 900);
+  row = fake_store_get (&rig.store, "targets", "d5");
   cr_assert_not_null (strstr (row, "\"i-1\""), "%s", row);
   cr_assert_not_null (strstr (row, "\"i-2\""), "%s", row);
 }
@@ -239,17 +250,17 @@
   rig.proxy->pressure.hold_us = 100.0 * JL_USEC_PER_MSEC;
   rig.proxy->lane.running = rig.proxy->lane.limit;
   rig.proxy->lane.waiting = 40;
-  fd = ask (&rig, PEER_PORT,
-            "GET /x HTTP/1.1\r\nHost: a\r\n" JL_WORK_FIELD
-            ": front 1 700 300 00000001 1\r\n\r\n");
-  rig_turn (&rig, 50);
-  answer = heard (fd);
+  fd = send_request (&rig, PEER_PORT,
+                     "GET /x HTTP/1.1\r\nHost: a\r\n" JL_WORK_FIELD
+                     ": front 1 700 300 00000001 1\r\n\r\n");
+  rig_run (&rig, 50);
+  answer = received (fd);
   cr_assert (g_str_has_prefix (answer, "HTTP/1.1 503"), "%s", answer);
   cr_assert_not_null (strstr (answer, JL_OUTCOME_FIELD ": not-run"));
   cr_assert_not_null (strstr (answer, JL_REASON_FIELD ": queue-long"));
 }
 
-/* A site with one route, which carries calls to the service deep. */
+/* Installs a site with one route, which carries calls to the service "deep". */
 static void
 install_call_route (struct rig *rig)
 {
@@ -273,88 +284,89 @@
   rig->proxy->call_route_count = 1;
 }
 
-/* A peer that counts who asks it, and answers that it has nothing. */
+/* Handler of a peer that counts its requests and answers 404. */
 static void
 on_begin (void *context, struct jl_request *request)
 {
-  unsigned *asked = context;
+  unsigned *request_count = context;
 
-  (*asked)++;
+  (*request_count)++;
   jl_request_reply (request, 404, "", "", 0);
 }
 
 static void
-open_peer (struct rig *rig, uint16_t port, unsigned *asked)
+open_peer (struct rig *rig, uint16_t port, unsigned *request_count)
 {
   static const struct jl_handler handler = { .begin = on_begin };
   const char *why = NULL;
 
-  *asked = 0;
-  cr_assert_not_null (
-      jl_server_open (rig->played.net, at (rig, port), &handler, asked, &why),
-      "%s", why);
+  *request_count = 0;
+  cr_assert_not_null (jl_server_open (rig->store.net, at (rig, port), &handler,
+                                      request_count, &why),
+                      "%s", why);
 }
 
 Test (daemon, calls_of_the_target_overflow_to_another_zone)
 {
   struct rig rig;
-  unsigned near_asked;
-  unsigned far_asked;
+  unsigned near_requests;
+  unsigned far_requests;
   struct jl_member *far;
 
   rig_prepare (&rig, 6);
   rig_start (&rig);
   install_call_route (&rig);
-  open_peer (&rig, OTHER_PORT, &near_asked);
-  open_peer (&rig, OTHER_PORT + 1, &far_asked);
-  add (&rig, "d6", "z1", "deep")->shed = 0.9;
-  far = add (&rig, "d7", "z2", "deep");
+  open_peer (&rig, OTHER_PORT, &near_requests);
+  open_peer (&rig, OTHER_PORT + 1, &far_requests);
+  add_member (&rig, "d6", "z1", "deep")->shed = 0.9;
+  far = add_member (&rig, "d7", "z2", "deep");
   far->peer.port = OTHER_PORT + 1;
-  ask (&rig, ENTRY_PORT, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
-  rig_turn (&rig, 30);
+  send_request (&rig, ENTRY_PORT, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
+  rig_run (&rig, 30);
   cr_assert_eq (rig.proxy->counters.calls, 1);
-  cr_assert_eq (far_asked, 1);
-  cr_assert_eq (near_asked, 0);
+  cr_assert_eq (far_requests, 1);
+  cr_assert_eq (near_requests, 0);
 }
 
 Test (daemon, few_of_many_tell_other_zones_of_themselves)
 {
   struct rig rig;
   uint64_t before;
-  uint64_t told;
+  uint64_t sent;
 
   rig_prepare (&rig, 7);
   rig_start (&rig);
-  for (unsigned i = 0; i < MANY; i++)
+  for (unsigned i = 0; i < MEMBERS; i++)
     {
       char name[16];
 
       g_snprintf (name, sizeof name, "m%u", i);
-      add (&rig, name, i < MANY / 2 ? "z1" : "z2", "front");
+      add_member (&rig, name, i < MEMBERS / 2 ? "z1" : "z2", "front");
     }
-  before = rig.proxy->counters.beacons_out;
-  jl_beacon_soon (rig.proxy->beacon);
-  rig_turn (&rig, 60);
-  told = rig.proxy->counters.beacons_out - before;
-  cr_assert_geq (told, MANY / 2, "all of the own zone: %" PRIu64, told);
-  cr_assert_leq (told, MANY * 3 / 4, "%" PRIu64 " told", told);
+  before = rig.proxy->counters.beacons_sent;
+  jl_beacon_send_soon (rig.proxy->beacon);
+  rig_run (&rig, 60);
+  sent = rig.proxy->counters.beacons_sent - before;
+  cr_assert_geq (sent, MEMBERS / 2, "all of the own zone: %" PRIu64, sent);
+  cr_assert_leq (sent, MEMBERS * 3 / 4, "%" PRIu64 " sent", sent);
 }
 
-/* Ten changes in a second; the calls for them. */
+/* Changes the configuration ten times in a second and returns the number of
+ * feed calls in this time. */
 static unsigned
-feeds_in_a_storm (struct rig *rig)
+feed_calls_for_ten_changes (struct rig *rig)
 {
-  unsigned before = rig->played.feeds;
+  unsigned before = rig->store.feeds;
 
   for (unsigned i = 0; i < 10; i++)
     {
       char text[32];
 
       g_snprintf (text, sizeof text, "no configuration %u", i);
-      played_put (&rig->played, "op", "config", text);
-      rig_turn (rig, 100);
+      fake_store_put (&rig->store, "op", "config", text);
+      rig_run (rig, 100);
     }
-  return rig->played.feeds - before;
+  return rig->store.feeds - before;
 }
 
 Test (daemon, a_daemon_that_watches_closely_hears_of_each_change)
@@ -363,7 +375,7 @@
 
   rig_prepare (&rig, 8);
   rig_start (&rig);
-  cr_assert_geq (feeds_in_a_storm (&rig), 8);
+  cr_assert_geq (feed_calls_for_ten_changes (&rig), 8);
 }
 
 Test (daemon, the_others_gather_changes)
@@ -373,35 +385,36 @@
 
   rig_prepare (&rig, 9);
   rig_start (&rig);
-  add (&rig, "d1", "z1", "front");
-  add (&rig, "d2", "z1", "front");
-  rig_turn (&rig, 150);
-  feeds = feeds_in_a_storm (&rig);
+  add_member (&rig, "d1", "z1", "front");
+  add_member (&rig, "d2", "z1", "front");
+  rig_run (&rig, 150);
+  feeds = feed_calls_for_ten_changes (&rig);
   cr_assert_leq (feeds, 2, "%u calls", feeds);
 }
 
 Test (daemon, a_configuration_is_taken_from_a_near_daemon)
 {
   struct rig rig;
-  unsigned asked;
+  unsigned request_count;
   struct jl_member *near;
   struct jl_member *far;
 
   rig_prepare (&rig, 10);
   rig_start (&rig);
-  open_peer (&rig, OTHER_PORT, &asked);
-  far = add (&rig, "d7", "z2", "deep");
+  open_peer (&rig, OTHER_PORT, &request_count);
+  far = add_member (&rig, "d7", "z2", "deep");
   far->peer.port = OTHER_PORT + 1;
   far->site_version = 9;
-  near = add (&rig, "d6", "z1", "deep");
+  near = add_member (&rig, "d6", "z1", "deep");
   near->site_version = 9;
-  jl_proxy_site_behind (rig.proxy, far);
-  jl_proxy_site_behind (rig.proxy, near);
-  rig_turn (&rig, 300);
-  cr_assert_eq (asked, 1);
+  jl_sync_fetch (rig.proxy, far);
+  jl_sync_fetch (rig.proxy, near);
+  rig_run (&rig, 300);
+  cr_assert_eq (request_count, 1);
 }
 
-/* The service deep is reached twice, by calls of front and of middle. */
+/* Guards against a retry that is taken from the budget of "deep" only once. A
+ * request runs there twice, by calls of "front" and of "middle". */
 Test (daemon, a_repeat_is_paid_for_at_each_service_as_a_whole)
 {
   struct rig rig;
@@ -421,7 +434,7 @@
       g_strlcpy (added.split[0].service, names[i],
                  sizeof added.split[0].service);
       jl_site_add (site, &added);
-      members[i] = add (&rig, names[i], "z1", names[i]);
+      members[i] = add_member (&rig, names[i], "z1", names[i]);
     }
   members[0]->fanout_count = 2;
   members[0]->fanout[0] = (struct jl_fanout_entry){ jl_name_key ("front"),
@@ -432,10 +445,11 @@
   members[1]->fanout[0] = (struct jl_fanout_entry){ jl_name_key ("middle"),
                                                     jl_name_key ("deep"), 1 };
   route = jl_site_route (site, jl_name_key ("front"));
-  /* Enough for one and a half repeats at each service, of four daemons. */
+  /* Allows one and a half retries at each service, with four daemons. */
   rig.options.retry_slack = 1.5 * 4 / 0.8;
   cr_assert_not (jl_demand_spend_repeat (rig.proxy, site, route));
   rig.options.retry_slack = 2.5 * 4 / 0.8;
   cr_assert (jl_demand_spend_repeat (rig.proxy, site, route));
-  cr_assert_not (jl_demand_spend_repeat (rig.proxy, site, route), "spent");
+  cr_assert_not (jl_demand_spend_repeat (rig.proxy, site, route),
+                 "budget is spent");
 }
--- a/tests/proxy/parts/played.c
+++ b/tests/proxy/parts/fake-store.c
@@ -1,14 +1,19 @@
 /**
- * DOC: The platform's store, played in the test's process.
+ * DOC: Fake of the platform's store in the test's process.
  */
 
-#include "proxy/parts/played.h"
+#include "proxy/parts/fake-store.h"
 
 #include <criterion/criterion.h>
 #include <json-c/json.h>
 #include <string.h>
 
-struct played_row
+/**
+ * struct fake_store_row - a row of a table
+ * @value: decoded, zero-terminated
+ * @version: store's version after the row's last change
+ */
+struct fake_store_row
 {
   char *table;
   char *key;
@@ -19,7 +24,7 @@
 static void
 free_row (gpointer data)
 {
-  struct played_row *row = data;
+  struct fake_store_row *row = data;
 
   g_free (row->table);
   g_free (row->key);
@@ -28,7 +33,7 @@
 }
 
 static struct json_object *
-row_object (const struct played_row *row)
+row_object (const struct fake_store_row *row)
 {
   struct json_object *object = json_object_new_object ();
   char *value
@@ -44,7 +49,7 @@
 }
 
 static void
-reply (struct played *played,
+reply (struct fake_store *store,
        struct jl_request *request,
        unsigned status,
        struct json_object *rows)
@@ -55,13 +60,15 @@
   if (rows != NULL)
     json_object_object_add (answer, "rows", rows);
   json_object_object_add (answer, "ver",
-                          json_object_new_int64 ((int64_t)played->version));
+                          json_object_new_int64 ((int64_t)store->version));
   text = json_object_to_json_string (answer);
   jl_request_reply (request, status, "Content-Type: application/json\r\n", text,
                     strlen (text));
   json_object_put (answer);
 }
 
+/* Returns the value of a query parameter, "" if it is missing. @name includes
+ * the equals sign. */
 static char *
 query_text (const char *target, const char *name)
 {
@@ -73,9 +80,10 @@
   return g_strndup (from, strcspn (from, "&"));
 }
 
-/* Rows of a table, all or that of one key, changed after @after. */
+/* Returns the rows that a call asks for: of a table, or only the row of the key
+ * in "from", if changed after version @after. */
 static struct json_object *
-rows_of (struct played *played, const char *target, uint64_t after)
+rows_of (struct fake_store *store, const char *target, uint64_t after)
 {
   struct json_object *rows = json_object_new_array ();
   char *table = query_text (target, "table=");
@@ -83,10 +91,10 @@
   GHashTableIter iter;
   gpointer data;
 
-  g_hash_table_iter_init (&iter, played->rows);
+  g_hash_table_iter_init (&iter, store->rows);
   while (g_hash_table_iter_next (&iter, NULL, &data))
     {
-      const struct played_row *row = data;
+      const struct fake_store_row *row = data;
 
       if (strcmp (row->table, table) == 0 && row->version > after
           && (*from == '\0' || strcmp (row->key, from) == 0))
@@ -97,29 +105,30 @@
   return rows;
 }
 
-/* Answers a call for changes if there are any. */
+/* Answers a feed call if there are changes. */
 static bool
-answer_feed (struct played *played, struct jl_request *request)
+answer_feed (struct fake_store *store, struct jl_request *request)
 {
   const char *target = jl_head_target (jl_request_head (request));
   char *after = query_text (target, "after=");
   struct json_object *rows
-      = rows_of (played, target, g_ascii_strtoull (after, NULL, 10));
+      = rows_of (store, target, g_ascii_strtoull (after, NULL, 10));
   bool changed = json_object_array_length (rows) > 0;
 
   g_free (after);
   if (changed)
-    reply (played, request, 200, rows);
+    reply (store, request, 200, rows);
   else
     json_object_put (rows);
   return changed;
 }
 
 static bool
-is_silent (const struct played *played, const char *target)
+is_silent (const struct fake_store *store, const char *target)
 {
   char *table = query_text (target, "table=");
-  bool silent = played->silent != NULL && strcmp (table, played->silent) == 0;
+  bool silent
+      = store->silent_table != NULL && strcmp (table, store->silent_table) == 0;
 
   g_free (table);
   return silent;
@@ -128,7 +137,7 @@
 static void
 on_begin (void *context, struct jl_request *request)
 {
-  struct played *played = context;
+  struct fake_store *store = context;
   const struct jl_head *head = jl_request_head (request);
   const char *target = jl_head_target (head);
 
@@ -137,17 +146,17 @@
       jl_request_set_data (request, g_string_new (NULL));
       return;
     }
-  if (is_silent (played, target))
+  if (is_silent (store, target))
     return;
   if (g_str_has_prefix (target, "/api/rows-feed"))
     {
-      played->feeds += strstr (target, "table=op&") != NULL;
-      if (!answer_feed (played, request))
-        g_ptr_array_add (played->waiting, request);
+      store->feeds += strstr (target, "table=op&") != NULL;
+      if (!answer_feed (store, request))
+        g_ptr_array_add (store->waiting_feeds, request);
       return;
     }
-  played->reads++;
-  reply (played, request, 200, rows_of (played, target, 0));
+  store->reads++;
+  reply (store, request, 200, rows_of (store, target, 0));
 }
 
 static void
@@ -173,12 +182,13 @@
   return json_object_get_string (json_object_object_get (object, name));
 }
 
-/* The row that a write depends on, NULL if it has the version wanted. */
-static struct played_row *
-conflict_of (struct played *played, struct json_object *wanted)
+/* Returns the row that conflicts with a write, NULL if there is no row or it
+ * has the version that the write expects. */
+static struct fake_store_row *
+conflict_of (struct fake_store *store, struct json_object *wanted)
 {
   char *name = row_name (text_of (wanted, "table"), text_of (wanted, "key"));
-  struct played_row *row = g_hash_table_lookup (played->rows, name);
+  struct fake_store_row *row = g_hash_table_lookup (store->rows, name);
   uint64_t version = (uint64_t)json_object_get_int64 (
       json_object_object_get (wanted, "ver"));
 
@@ -187,13 +197,13 @@
 }
 
 static void
-write_row (struct played *played, struct json_object *put)
+write_row (struct fake_store *store, struct json_object *put)
 {
   gsize size;
   guchar *value = g_base64_decode (text_of (put, "value"), &size);
   char *text = g_strndup ((const char *)value, size);
 
-  played_put (played, text_of (put, "table"), text_of (put, "key"), text);
+  fake_store_put (store, text_of (put, "table"), text_of (put, "key"), text);
   g_free (text);
   g_free (value);
 }
@@ -201,36 +211,36 @@
 static void
 on_end (void *context, struct jl_request *request)
 {
-  struct played *played = context;
+  struct fake_store *store = context;
   GString *body = jl_request_data (request);
   struct json_object *document;
-  struct played_row *conflict;
+  struct fake_store_row *conflict;
   struct json_object *rows;
 
   if (body == NULL)
     return;
-  played->writes++;
+  store->writes++;
   document = json_tokener_parse (body->str);
   cr_assert_not_null (document, "%s", body->str);
   conflict = conflict_of (
-      played, json_object_array_get_idx (
-                  json_object_object_get (document, "expectedRevision"), 0));
+      store, json_object_array_get_idx (
+                 json_object_object_get (document, "expectedRevision"), 0));
   jl_request_set_data (request, NULL);
   g_string_free (body, TRUE);
   if (conflict != NULL)
     {
       rows = json_object_new_array ();
       json_object_array_add (rows, row_object (conflict));
-      reply (played, request, 412, rows);
+      reply (store, request, 412, rows);
     }
   else
     {
-      write_row (played, json_object_array_get_idx (
-                             json_object_object_get (document, "puts"), 0));
-      if (played->hold)
-        g_ptr_array_add (played->held, request);
+      write_row (store, json_object_array_get_idx (
+                            json_object_object_get (document, "puts"), 0));
+      if (store->hold_writes)
+        g_ptr_array_add (store->held_writes, request);
       else
-        reply (played, request, 200, NULL);
+        reply (store, request, 200, NULL);
     }
   json_object_put (document);
 }
@@ -238,10 +248,10 @@
 static void
 on_gone (void *context, struct jl_request *request)
 {
-  struct played *played = context;
+  struct fake_store *store = context;
 
-  g_ptr_array_remove (played->waiting, request);
-  g_ptr_array_remove (played->held, request);
+  g_ptr_array_remove (store->waiting_feeds, request);
+  g_ptr_array_remove (store->held_writes, request);
 }
 
 static const struct jl_handler handler = {
@@ -252,68 +262,67 @@
 };
 
 void
-played_open (struct played *played, struct jl_endpoint endpoint)
+fake_store_open (struct fake_store *store, struct jl_endpoint endpoint)
 {
   const char *why = NULL;
 
-  memset (played, 0, sizeof *played);
-  played->rows
+  memset (store, 0, sizeof *store);
+  store->rows
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_row);
-  played->held = g_ptr_array_new ();
-  played->waiting = g_ptr_array_new ();
-  played->version = 1;
-  played->loop = jl_loop_new ();
-  played->net = jl_net_new (played->loop);
+  store->held_writes = g_ptr_array_new ();
+  store->waiting_feeds = g_ptr_array_new ();
+  store->version = 1;
+  store->loop = jl_loop_new ();
+  store->net = jl_net_new (store->loop);
   cr_assert_not_null (
-      jl_server_open (played->net, endpoint, &handler, played, &why), "%s",
-      why);
+      jl_server_open (store->net, endpoint, &handler, store, &why), "%s", why);
 }
 
 void
-played_put (struct played *played,
-            const char *table,
-            const char *key,
-            const char *value)
+fake_store_put (struct fake_store *store,
+                const char *table,
+                const char *key,
+                const char *value)
 {
-  struct played_row *row = g_new0 (struct played_row, 1);
+  struct fake_store_row *row = g_new0 (struct fake_store_row, 1);
 
   row->table = g_strdup (table);
   row->key = g_strdup (key);
   row->value = g_strdup (value);
-  row->version = ++played->version;
-  g_hash_table_replace (played->rows, row_name (table, key), row);
-  for (guint i = played->waiting->len; i > 0; i--)
-    if (answer_feed (played, g_ptr_array_index (played->waiting, i - 1)))
-      g_ptr_array_remove_index (played->waiting, i - 1);
+  row->version = ++store->version;
+  g_hash_table_replace (store->rows, row_name (table, key), row);
+  for (guint i = store->waiting_feeds->len; i > 0; i--)
+    if (answer_feed (store, g_ptr_array_index (store->waiting_feeds, i - 1)))
+      g_ptr_array_remove_index (store->waiting_feeds, i - 1);
 }
 
 const char *
-played_get (struct played *played, const char *table, const char *key)
+fake_store_get (struct fake_store *store, const char *table, const char *key)
 {
   char *name = row_name (table, key);
-  const struct played_row *row = g_hash_table_lookup (played->rows, name);
+  const struct fake_store_row *row = g_hash_table_lookup (store->rows, name);
 
   g_free (name);
   return row != NULL ? row->value : NULL;
 }
 
 void
-played_release (struct played *played)
+fake_store_release_writes (struct fake_store *store)
 {
-  for (guint i = 0; i < played->held->len; i++)
-    reply (played, g_ptr_array_index (played->held, i), 200, NULL);
-  g_ptr_array_set_size (played->held, 0);
+  for (guint i = 0; i < store->held_writes->len; i++)
+    reply (store, g_ptr_array_index (store->held_writes, i), 200, NULL);
+  g_ptr_array_set_size (store->held_writes, 0);
 }
 
 void
-played_turn (struct played *played, struct jl_loop *loop, unsigned ms)
+fake_store_run (struct fake_store *store, struct jl_loop *loop, unsigned ms)
 {
   uint64_t end_us = jl_now () + ms * JL_USEC_PER_MSEC;
 
   while (jl_now () < end_us)
     {
       uv_run (&loop->uv, UV_RUN_NOWAIT);
-      uv_run (&played->loop->uv, UV_RUN_NOWAIT);
+      uv_run (&store->loop->uv, UV_RUN_NOWAIT);
       g_usleep (300);
     }
 }
--- /dev/null
+++ b/tests/proxy/parts/fake-store.h
@@ -0,0 +1,69 @@
+#ifndef TESTS_PROXY_FAKE_STORE_H
+#define TESTS_PROXY_FAKE_STORE_H
+
+/**
+ * DOC: Fake of the platform's store, in the test's process with its own event
+ * loop.
+ */
+
+#include "jackdawladder/request.h"
+
+/**
+ * struct fake_store - a store with an HTTP listener
+ * @rows: struct fake_store_row by "table/key"
+ * @version: version of the last change
+ * @silent_table: table whose reads are never answered, NULL for none
+ * @hold_writes: apply writes, but answer them only on
+ *               fake_store_release_writes()
+ * @held_writes: writes that wait for their answer
+ * @waiting_feeds: feed calls that wait for a change
+ * @reads: number of reads of whole tables or single rows
+ * @feeds: number of feed calls for the table "op"
+ * @writes: number of write calls, also of refused ones
+ */
+struct fake_store
+{
+  struct jl_loop *loop;
+  struct jl_net *net;
+  GHashTable *rows;
+  uint64_t version;
+  const char *silent_table;
+  bool hold_writes;
+  GPtrArray *held_writes;
+  GPtrArray *waiting_feeds;
+  unsigned reads;
+  unsigned feeds;
+  unsigned writes;
+};
+
+/**
+ * fake_store_open - initializes the store and listens at @endpoint
+ */
+void fake_store_open (struct fake_store *store, struct jl_endpoint endpoint);
+
+/**
+ * fake_store_put - changes a row, as a write of another client does
+ */
+void fake_store_put (struct fake_store *store,
+                     const char *table,
+                     const char *key,
+                     const char *value);
+
+/**
+ * fake_store_get - returns the value of a row, NULL if there is no such row
+ */
+const char *
+fake_store_get (struct fake_store *store, const char *table, const char *key);
+
+/**
+ * fake_store_release_writes - answers the held writes
+ */
+void fake_store_release_writes (struct fake_store *store);
+
+/**
+ * fake_store_run - runs @loop and the store's event loop for @ms milliseconds
+ */
+void
+fake_store_run (struct fake_store *store, struct jl_loop *loop, unsigned ms);
+
+#endif
--- a/tests/proxy/store.c
+++ b/tests/proxy/store.c
@@ -7,7 +7,7 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-#include "proxy/parts/played.h"
+#include "proxy/parts/fake-store.h"
 #include "store.h"
 
 /**
@@ -58,7 +58,7 @@
 struct rig
 {
   struct jl_loop *loop;
-  struct played played;
+  struct fake_store played;
   struct jl_store *store;
   struct owner owner;
 };
@@ -70,7 +70,7 @@
       = { .ip = INADDR_LOOPBACK + (host << 8), .port = 17007 };
 
   memset (rig, 0, sizeof *rig);
-  played_open (&rig->played, endpoint);
+  fake_store_open (&rig->played, endpoint);
   rig->loop = jl_loop_new ();
   rig->store = jl_store_new (rig->loop, jl_net_new (rig->loop), endpoint, &ops,
                              &rig->owner);
@@ -79,7 +79,7 @@
 static void
 rig_turn (struct rig *rig)
 {
-  played_turn (&rig->played, rig->loop, 500);
+  fake_store_run (&rig->played, rig->loop, 500);
 }
 
 /* A daemon that starts again has its row there already. */
@@ -88,7 +88,7 @@
   struct rig rig;
 
   rig_open (&rig, 77);
-  played_put (&rig.played, "t", "k", "mine");
+  fake_store_put (&rig.played, "t", "k", "mine");
   jl_store_keep (rig.store, "t", "k", "mine");
   rig_turn (&rig);
   cr_assert_eq (rig.played.writes, 1, "%u writes", rig.played.writes);
@@ -100,13 +100,13 @@
   struct rig rig;
 
   rig_open (&rig, 78);
-  played_put (&rig.played, "t", "k", "other");
+  fake_store_put (&rig.played, "t", "k", "other");
   jl_store_keep (rig.store, "t", "k", "mine");
   rig_turn (&rig);
   cr_assert_eq (rig.played.writes, 2, "%u writes", rig.played.writes);
   cr_assert_str_eq (rig.owner.value, "other");
   cr_assert_eq (rig.owner.written, 1);
-  cr_assert_str_eq (played_get (&rig.played, "t", "k"), "mine");
+  cr_assert_str_eq (fake_store_get (&rig.played, "t", "k"), "mine");
 }
 
 Test (store, one_row_is_read)
@@ -114,8 +114,8 @@
   struct rig rig;
 
   rig_open (&rig, 79);
-  played_put (&rig.played, "t", "k", "there");
-  played_put (&rig.played, "t", "l", "of another");
+  fake_store_put (&rig.played, "t", "k", "there");
+  fake_store_put (&rig.played, "t", "l", "of another");
   jl_store_read (rig.store, "t", "k");
   rig_turn (&rig);
   cr_assert_eq (rig.owner.rows, 1);
