--- a/include/jackdawladder/site.h
+++ b/include/jackdawladder/site.h
@@ -2,37 +2,41 @@
 #define JACKDAWLADDER_SITE_H
 
 /**
- * DOC: A site's configuration as the proxy uses it: routes, services, limits.
+ * DOC: The configuration of a site, as the proxy uses it: routes, services,
+ * limits.
  *
- * A document is immutable once it is sealed. A newer version replaces it as a
- * whole; requests in progress keep the one that they began with.
+ * A configuration is immutable once it is sealed. A newer version replaces it
+ * as a whole; requests in progress keep a reference to the version that they
+ * began with.
  */
 
 #include "jackdawladder/base.h"
 
-/* Bytes of a host, prefix or name, with the final zero. */
+/* Size of a host, prefix or name in bytes, including the final NUL. */
 #define JL_TEXT_SIZE 208
-/* Services among which one route is split. */
+/* Services that the requests of one route are split among. */
 #define JL_SPLIT_MAX 8
-/* Priorities; 0 is the most important. */
+/* Number of priorities, called ranks; 0 is the most important. */
 #define JL_RANK_COUNT 4
 
 /**
- * enum jl_repeat - what may be repeated
- * @JL_REPEAT_ANY: idempotent
- * @JL_REPEAT_NONE: runs at most once
- * @JL_REPEAT_UPLOAD: runs at most once, and has a large body
+ * enum jl_retry_policy - whether a route's requests may be retried after they
+ * may have run
+ * @JL_RETRY_POLICY_IDEMPOTENT: the requests are idempotent and may be retried
+ * @JL_RETRY_POLICY_AT_MOST_ONCE: each request runs at most once
+ * @JL_RETRY_POLICY_UPLOAD: each request runs at most once, and has a large
+ * body
  */
-enum jl_repeat
+enum jl_retry_policy
 {
-  JL_REPEAT_ANY,
-  JL_REPEAT_NONE,
-  JL_REPEAT_UPLOAD,
+  JL_RETRY_POLICY_IDEMPOTENT,
+  JL_RETRY_POLICY_AT_MOST_ONCE,
+  JL_RETRY_POLICY_UPLOAD,
 };
 
 /**
- * struct jl_split - one service of a route
- * @weight: its part is weight / sum of the weights
+ * struct jl_split - one service that serves a route
+ * @weight: its share of the requests is @weight / sum of the route's weights
  */
 struct jl_split
 {
@@ -41,12 +45,12 @@
 };
 
 /**
- * struct jl_route - requests of one host whose path begins with a prefix
- * @key: the same for the route of that name in each version
- * @timeout_us: longest time for which a request is kept
- * @goal_us: answers within this time earn their full worth
- * @rank: 0 is the most important
- * @attempts_max: targets that one request may be sent to
+ * struct jl_route - the requests to one host whose path begins with a prefix
+ * @key: digest of the name, equal in all versions of the configuration
+ * @timeout_us: time after which a request is given up
+ * @latency_goal_us: an answer within this time has its full value
+ * @rank: priority; 0 is the most important
+ * @attempts_max: number of targets that one request may be sent to
  */
 struct jl_route
 {
@@ -54,9 +58,9 @@
   char host[JL_TEXT_SIZE];
   char prefix[JL_TEXT_SIZE];
   uint32_t key;
-  enum jl_repeat repeat;
+  enum jl_retry_policy retry_policy;
   uint64_t timeout_us;
-  uint64_t goal_us;
+  uint64_t latency_goal_us;
   unsigned rank;
   unsigned attempts_max;
   unsigned split_count;
@@ -65,15 +69,21 @@
 
 /**
  * struct jl_site - one version of a site's configuration
- * @head_bytes: largest head of a request
- * @body_bytes: largest body of a request
+ * @references: number of references
+ * @head_bytes_max: size of the largest head of a request
+ * @body_bytes_max: size of the largest body of a request
+ * @head_timeout_us: time in which the head of a request must arrive
+ * @idle_timeout_us: time after which an idle connection is closed
+ * @routes: array of struct jl_route, owned
+ * @by_host: arrays of routes, by host in lower case
+ * @by_key: routes by key
  */
 struct jl_site
 {
   unsigned references;
   uint64_t version;
-  size_t head_bytes;
-  uint64_t body_bytes;
+  size_t head_bytes_max;
+  uint64_t body_bytes_max;
   uint64_t head_timeout_us;
   uint64_t idle_timeout_us;
   GPtrArray *routes;
@@ -81,40 +91,57 @@
   GHashTable *by_key;
 };
 
+/**
+ * jl_site_new - creates an empty configuration with one reference
+ */
 struct jl_site *jl_site_new (uint64_t version);
-struct jl_site *jl_site_keep (struct jl_site *site);
-void jl_site_drop (struct jl_site *site);
 
 /**
- * jl_site_add - adds a copy of @route, whose key is set here
+ * jl_site_ref - adds a reference
+ *
+ * Return: @site.
+ */
+struct jl_site *jl_site_ref (struct jl_site *site);
+
+/**
+ * jl_site_unref - drops a reference, and frees the configuration with the last
+ * @site: NULL for none
+ */
+void jl_site_unref (struct jl_site *site);
+
+/**
+ * jl_site_add_route - adds a copy of @route with its key set
  */
-void jl_site_add (struct jl_site *site, const struct jl_route *route);
+void jl_site_add_route (struct jl_site *site, const struct jl_route *route);
 
 /**
- * jl_site_seal - readies a document for jl_site_find()
+ * jl_site_seal - completes a configuration: jl_site_find_route() may be used,
+ * and routes may not be added any more
  */
 void jl_site_seal (struct jl_site *site);
 
 /**
- * jl_site_find - the route of a request
- * @host: as in the request, with or without a port
- * @target: as in the request, with or without a query
+ * jl_site_find_route - returns the route of a request
+ * @host: host of the request, with or without a port
+ * @target: request target, with or without a query
  *
- * Return: the route with the longest prefix, or NULL.
+ * Return: the matching route with the longest prefix, or NULL if none matches.
  */
-const struct jl_route *
-jl_site_find (const struct jl_site *site, const char *host, const char *target);
+const struct jl_route *jl_site_find_route (const struct jl_site *site,
+                                           const char *host,
+                                           const char *target);
 
 /**
- * jl_site_route - the route with that key
+ * jl_site_route_by_key - returns the route with the key @key
  * @site: NULL for none
  *
- * Return: NULL when there is none.
+ * Return: the route, or NULL if there is none.
  */
-const struct jl_route *jl_site_route (const struct jl_site *site, uint32_t key);
+const struct jl_route *jl_site_route_by_key (const struct jl_site *site,
+                                             uint32_t key);
 
 /**
- * jl_name_key - 32-bit digest of a name
+ * jl_name_key - returns a 32-bit digest of a name
  */
 uint32_t jl_name_key (const char *name);
 
--- a/source/policy/budget.h
+++ b/source/policy/budget.h
@@ -2,66 +2,72 @@
 #define JACKDAWLADDER_BUDGET_H
 
 /**
- * DOC: This daemon's part of the retry budget that all daemons share.
+ * DOC: This daemon's share of the retry budget of a service.
  *
- * A service may get a share of its requests, and some more, as repeats in each
- * window. Each daemon keeps to the share of the requests that it took itself,
- * and to its equal part of the rest, so that no message is needed for a retry.
- * A repeat of a request whose tree of calls reaches deeper services is charged
- * there as well, by the calls that it makes.
+ * All daemons share one retry budget for each service: within a sliding window
+ * the service may receive a fixed ratio of its requests as retries, plus a
+ * fixed number (the slack). Each daemon applies the ratio to the requests that
+ * it received itself and uses an equal part of the slack, so a retry needs no
+ * message to other daemons. The retry of a request whose call tree reaches
+ * deeper services is also charged to the budgets of those services, by the
+ * number of calls that it causes there.
  */
 
 #include "jackdawladder/base.h"
 
-/* Parts of a window that are counted apart. */
-#define JL_BUDGET_SLOTS 12
+/* Slots of the ring in which requests and retries are counted. */
+#define JL_RETRY_BUDGET_SLOT_COUNT 12
 
 /**
- * struct jl_budget - for one service
+ * struct jl_retry_budget - requests and retries of one service
+ * @slot: number of the current slot; its index in the rings is this number
+ *        modulo their length
+ * @requests: ring of the requests received, by slot
+ * @retries: ring of the retries charged, by slot
  */
-struct jl_budget
+struct jl_retry_budget
 {
   uint64_t slot;
-  double requests[JL_BUDGET_SLOTS];
-  double repeats[JL_BUDGET_SLOTS];
+  double requests[JL_RETRY_BUDGET_SLOT_COUNT];
+  double retries[JL_RETRY_BUDGET_SLOT_COUNT];
 };
 
 /**
- * struct jl_budget_terms - what is allowed
- * @ratio: repeats for each request
- * @slack: repeats beside those, for all daemons together
+ * struct jl_retry_budget_policy - limits of the retry budget
+ * @ratio: retries allowed for each request
+ * @slack: retries allowed in addition, for all daemons together
  * @window_us: length of the sliding window
- * @daemons: number among which @slack is parted
+ * @daemon_count: number of daemons that share @slack
  */
-struct jl_budget_terms
+struct jl_retry_budget_policy
 {
   double ratio;
   double slack;
   uint64_t window_us;
-  unsigned daemons;
+  unsigned daemon_count;
 };
 
 /**
- * jl_budget_request - a caller's request for the service has come
+ * jl_retry_budget_count_request - counts a caller's request for the service
  */
-void jl_budget_request (struct jl_budget *budget,
-                        const struct jl_budget_terms *terms,
-                        uint64_t now_us);
+void jl_retry_budget_count_request (struct jl_retry_budget *budget,
+                                    const struct jl_retry_budget_policy *policy,
+                                    uint64_t now_us);
 
 /**
- * jl_budget_allows - whether @repeats more may arrive at the service
+ * jl_retry_budget_allows - whether @retries more retries fit into the budget
  */
-bool jl_budget_allows (struct jl_budget *budget,
-                       const struct jl_budget_terms *terms,
-                       uint64_t now_us,
-                       double repeats);
+bool jl_retry_budget_allows (struct jl_retry_budget *budget,
+                             const struct jl_retry_budget_policy *policy,
+                             uint64_t now_us,
+                             double retries);
 
 /**
- * jl_budget_spend - @repeats more will arrive
+ * jl_retry_budget_spend - charges @retries retries to the budget
  */
-void jl_budget_spend (struct jl_budget *budget,
-                      const struct jl_budget_terms *terms,
-                      uint64_t now_us,
-                      double repeats);
+void jl_retry_budget_spend (struct jl_retry_budget *budget,
+                            const struct jl_retry_budget_policy *policy,
+                            uint64_t now_us,
+                            double retries);
 
 #endif
--- a/source/policy/fanout.c
+++ b/source/policy/fanout.c
@@ -1,19 +1,19 @@
 /**
- * DOC: How many calls of each kind a run of each kind makes, learned.
+ * DOC: Estimates how many calls of each route a run of each route makes.
  */
 
 #include "policy/fanout.h"
 
 #include <string.h>
 
-/* What a window's count keeps in the next one. */
-#define KEEP 0.8
-/* Share of the error that one window corrects. */
-#define STEP 0.5
-/* Runs seen before anything is fitted. */
+/* Factor by which the smoothed counts decay in each window. */
+#define DECAY_FACTOR 0.8
+/* Share of the error that the gradient step of one window corrects. */
+#define STEP_SHARE 0.5
+/* Smoothed number of runs below which nothing is fitted. */
 #define RUNS_MIN 5.0
-/* Fewer calls a run than this are taken for none. */
-#define CALLS_MIN 0.04
+/* Estimates below this number of calls for each run are left out. */
+#define CALLS_PER_RUN_MIN 0.04
 
 void
 jl_fanout_init (struct jl_fanout *fanout)
@@ -22,7 +22,7 @@
 }
 
 static void
-count (struct jl_fanout_count *counts, unsigned *number, uint32_t key)
+count_route (struct jl_fanout_count *counts, unsigned *number, uint32_t key)
 {
   for (unsigned i = 0; i < *number; i++)
     if (counts[i].key == key)
@@ -30,32 +30,32 @@
         counts[i].window += 1;
         return;
       }
-  if (*number == JL_FANOUT_MAX)
+  if (*number == JL_FANOUT_ROUTES_MAX)
     return;
   counts[*number].key = key;
   counts[*number].window = 1;
-  counts[*number].smooth = 0;
+  counts[*number].smoothed = 0;
   (*number)++;
 }
 
 void
-jl_fanout_run (struct jl_fanout *fanout, uint32_t run)
+jl_fanout_count_run (struct jl_fanout *fanout, uint32_t run)
 {
-  count (fanout->runs, &fanout->run_count, run);
+  count_route (fanout->runs, &fanout->run_count, run);
 }
 
 void
-jl_fanout_call (struct jl_fanout *fanout, uint32_t call)
+jl_fanout_count_call (struct jl_fanout *fanout, uint32_t call)
 {
-  count (fanout->calls, &fanout->call_count, call);
+  count_route (fanout->calls, &fanout->call_count, call);
 }
 
 static void
-smooth (struct jl_fanout_count *counts, unsigned number)
+end_count_window (struct jl_fanout_count *counts, unsigned number)
 {
   for (unsigned i = 0; i < number; i++)
     {
-      counts[i].smooth = KEEP * counts[i].smooth + counts[i].window;
+      counts[i].smoothed = DECAY_FACTOR * counts[i].smoothed + counts[i].window;
       counts[i].window = 0;
     }
 }
@@ -63,27 +63,28 @@
 static void
 fit_call (struct jl_fanout *fanout, unsigned call, double norm)
 {
-  double *row = fanout->calls_of[call];
-  double error = fanout->calls[call].smooth;
+  double *row = fanout->calls_per_run[call];
+  double error = fanout->calls[call].smoothed;
 
   for (unsigned i = 0; i < fanout->run_count; i++)
-    error -= row[i] * fanout->runs[i].smooth;
+    error -= row[i] * fanout->runs[i].smoothed;
   for (unsigned i = 0; i < fanout->run_count; i++)
-    row[i] = MAX (0, row[i] + STEP * error * fanout->runs[i].smooth / norm);
+    row[i] = MAX (
+        0, row[i] + STEP_SHARE * error * fanout->runs[i].smoothed / norm);
 }
 
 void
-jl_fanout_window (struct jl_fanout *fanout)
+jl_fanout_end_window (struct jl_fanout *fanout)
 {
   double total = 0;
   double norm = 0;
 
-  smooth (fanout->runs, fanout->run_count);
-  smooth (fanout->calls, fanout->call_count);
+  end_count_window (fanout->runs, fanout->run_count);
+  end_count_window (fanout->calls, fanout->call_count);
   for (unsigned i = 0; i < fanout->run_count; i++)
     {
-      total += fanout->runs[i].smooth;
-      norm += fanout->runs[i].smooth * fanout->runs[i].smooth;
+      total += fanout->runs[i].smoothed;
+      norm += fanout->runs[i].smoothed * fanout->runs[i].smoothed;
     }
   if (total < RUNS_MIN)
     return;
@@ -101,9 +102,9 @@
   for (unsigned call = 0; call < fanout->call_count; call++)
     for (unsigned run = 0; run < fanout->run_count && number < max; run++)
       {
-        double calls = fanout->calls_of[call][run];
+        double calls = fanout->calls_per_run[call][run];
 
-        if (calls < CALLS_MIN)
+        if (calls < CALLS_PER_RUN_MIN)
           continue;
         entries[number].run = fanout->runs[run].key;
         entries[number].call = fanout->calls[call].key;
--- a/source/policy/fanout.h
+++ b/source/policy/fanout.h
@@ -2,24 +2,24 @@
 #define JACKDAWLADDER_FANOUT_H
 
 /**
- * DOC: How many calls of each kind a run of each kind makes, learned.
+ * DOC: Estimates how many calls of each route a run of each route makes.
  *
- * A target's calls do not say which run made them. But a daemon sees the runs
- * that begin at its target and the calls that its target makes, and fits the
- * second by the first: non-negative least squares by gradient steps over
+ * A target's calls do not carry the run that made them. But a daemon counts
+ * the runs that begin at its target and the calls that its target makes, and
+ * fits the calls to the runs by non-negative least squares: gradient steps over
  * smoothed counts.
  */
 
 #include "jackdawladder/base.h"
 
-/* Kinds of run, and kinds of call, that one daemon tells apart. */
-#define JL_FANOUT_MAX 8
+/* Routes of runs, and routes of calls, that one daemon counts separately. */
+#define JL_FANOUT_ROUTES_MAX 8
 
 /**
- * struct jl_fanout_entry - calls of one kind that one run of a kind makes
+ * struct jl_fanout_entry - calls of one route that a run of one route makes
  * @run: key of the run's route
  * @call: key of the call's route
- * @calls: mean number
+ * @calls: mean number of calls for each run
  */
 struct jl_fanout_entry
 {
@@ -29,42 +29,57 @@
 };
 
 /**
- * struct jl_fanout_count - how often a key was seen
+ * struct jl_fanout_count - runs or calls of one route
+ * @key: the route's key
+ * @window: number in the current window
+ * @smoothed: exponentially decaying number over all windows
  */
 struct jl_fanout_count
 {
   uint32_t key;
   double window;
-  double smooth;
+  double smoothed;
 };
 
 /**
- * struct jl_fanout - state of one daemon
- * @calls_of: by call and run, the fitted numbers
+ * struct jl_fanout - counts and estimates of one daemon
+ * @calls_per_run: estimated calls for each run; indexed by call, then by run
  */
 struct jl_fanout
 {
   unsigned run_count;
   unsigned call_count;
-  struct jl_fanout_count runs[JL_FANOUT_MAX];
-  struct jl_fanout_count calls[JL_FANOUT_MAX];
-  double calls_of[JL_FANOUT_MAX][JL_FANOUT_MAX];
+  struct jl_fanout_count runs[JL_FANOUT_ROUTES_MAX];
+  struct jl_fanout_count calls[JL_FANOUT_ROUTES_MAX];
+  double calls_per_run[JL_FANOUT_ROUTES_MAX][JL_FANOUT_ROUTES_MAX];
 };
 
 void jl_fanout_init (struct jl_fanout *fanout);
-void jl_fanout_run (struct jl_fanout *fanout, uint32_t run);
-void jl_fanout_call (struct jl_fanout *fanout, uint32_t call);
 
 /**
- * jl_fanout_window - a window of about a quarter of a second has ended
+ * jl_fanout_count_run - counts a run that begins at the own target
+ * @run: key of its route
  */
-void jl_fanout_window (struct jl_fanout *fanout);
+void jl_fanout_count_run (struct jl_fanout *fanout, uint32_t run);
 
 /**
- * jl_fanout_list - what was learned so far
- * @entries: receives at most @max of them
+ * jl_fanout_count_call - counts a call that the own target makes
+ * @call: key of its route
+ */
+void jl_fanout_count_call (struct jl_fanout *fanout, uint32_t call);
+
+/**
+ * jl_fanout_end_window - updates the estimates at the end of a window
+ *
+ * A window is about a quarter of a second long.
+ */
+void jl_fanout_end_window (struct jl_fanout *fanout);
+
+/**
+ * jl_fanout_list - lists the estimates
+ * @entries: receives at most @max entries
  *
- * Return: their number.
+ * Return: the number of entries.
  */
 unsigned jl_fanout_list (const struct jl_fanout *fanout,
                          struct jl_fanout_entry *entries,
--- a/source/policy/lane.c
+++ b/source/policy/lane.c
@@ -1,11 +1,11 @@
 /**
- * DOC: The queue before the own target.
+ * DOC: The lane: the concurrency limit and the queue before the own target.
  */
 
 #include "policy/lane.h"
 
-/* Part of an item's time that it may spend in the queue. */
-#define WAIT_SHARE 0.5
+/* Share of an item's time until it expires that it may spend in the queue. */
+#define WAIT_SHARE_MAX 0.5
 
 void
 jl_lane_init (struct jl_lane *lane)
@@ -13,11 +13,12 @@
   lane->limit = 0;
   lane->running = 0;
   lane->waiting = 0;
-  CDS_INIT_LIST_HEAD (&lane->first);
-  CDS_INIT_LIST_HEAD (&lane->others);
+  CDS_INIT_LIST_HEAD (&lane->rank_zero);
+  CDS_INIT_LIST_HEAD (&lane->by_due_time);
 }
 
-/* Behind all that is due no later; most items are due last. */
+/* Inserts @item behind all items that are due no later than it. The search
+ * begins at the end, since most new items are due last. */
 static void
 insert_by_due_time (struct cds_list_head *queue, struct jl_lane_item *item)
 {
@@ -31,7 +32,7 @@
 }
 
 bool
-jl_lane_arrive (struct jl_lane *lane, struct jl_lane_item *item)
+jl_lane_submit (struct jl_lane *lane, struct jl_lane_item *item)
 {
   item->waiting = lane->waiting > 0 || lane->running >= lane->limit;
   if (!item->waiting)
@@ -40,17 +41,17 @@
       return true;
     }
   if (item->rank == 0)
-    cds_list_add_tail (&item->link, &lane->first);
+    cds_list_add_tail (&item->link, &lane->rank_zero);
   else
-    insert_by_due_time (&lane->others, item);
+    insert_by_due_time (&lane->by_due_time, item);
   lane->waiting++;
   return false;
 }
 
 bool
-jl_lane_is_long (const struct jl_lane *lane,
-                 const struct jl_lane_item *item,
-                 uint64_t held_us)
+jl_lane_is_too_long (const struct jl_lane *lane,
+                     const struct jl_lane_item *item,
+                     uint64_t held_us)
 {
   double left_us = (double)(item->expires_us - item->since_us);
   double wait_us;
@@ -58,11 +59,11 @@
   if (item->rank == 0 || lane->limit == 0)
     return false;
   wait_us = (double)lane->waiting * (double)held_us / lane->limit;
-  return wait_us > WAIT_SHARE * left_us;
+  return wait_us > WAIT_SHARE_MAX * left_us;
 }
 
 void
-jl_lane_done (struct jl_lane *lane)
+jl_lane_finish (struct jl_lane *lane)
 {
   lane->running--;
 }
@@ -86,15 +87,15 @@
 }
 
 struct jl_lane_item *
-jl_lane_next (struct jl_lane *lane)
+jl_lane_take_next (struct jl_lane *lane)
 {
   struct jl_lane_item *item;
 
   if (lane->running >= lane->limit)
     return NULL;
-  item = front (&lane->first);
+  item = front (&lane->rank_zero);
   if (item == NULL)
-    item = front (&lane->others);
+    item = front (&lane->by_due_time);
   if (item == NULL)
     return NULL;
   jl_lane_remove (lane, item);
@@ -113,12 +114,13 @@
 }
 
 struct jl_lane_item *
-jl_lane_expired (struct jl_lane *lane, uint64_t now_us, uint64_t needed_us)
+jl_lane_take_expired (struct jl_lane *lane, uint64_t now_us, uint64_t needed_us)
 {
-  struct jl_lane_item *item = find_expired (&lane->first, now_us + needed_us);
+  struct jl_lane_item *item
+      = find_expired (&lane->rank_zero, now_us + needed_us);
 
   if (item == NULL)
-    item = find_expired (&lane->others, now_us + needed_us);
+    item = find_expired (&lane->by_due_time, now_us + needed_us);
   if (item != NULL)
     jl_lane_remove (lane, item);
   return item;
--- a/source/policy/lane.h
+++ b/source/policy/lane.h
@@ -2,15 +2,16 @@
 #define JACKDAWLADDER_LANE_H
 
 /**
- * DOC: The queue before the own target.
+ * DOC: The lane: the concurrency limit and the queue before the own target.
  *
- * The guard is the only way to its target, so the number of requests that run
- * there is exact. What does not fit waits here. The highest rank goes first;
- * all others go by the time at which they are due, so that a request with a
- * close goal is not kept waiting by a crowd with distant ones. What is too much
- * is refused at the entries; the queue evens out what remains. Work that cannot
- * end in time any more is handed back, so that its caller hears at once, and so
- * is work that finds too long a queue.
+ * All requests to a target pass through its guard, so the number of requests
+ * that run there is exact. Requests above the limit wait in a queue. Requests
+ * of rank 0 run first; all others run in the order of their due times, so that
+ * a request with a short latency goal does not wait behind many with long ones.
+ * Load shedding happens at the entries; the queue only absorbs short bursts. A
+ * request that can no longer end in time is removed from the queue and refused,
+ * so that its caller learns of it at once. A request that arrives at too long a
+ * queue is refused as well.
  */
 
 #include "jackdawladder/site.h"
@@ -18,11 +19,11 @@
 #include <urcu/list.h>
 
 /**
- * struct jl_lane_item - a work item in the lane, embedded in its owner
- * @rank: 0 is the most important
- * @since_us: when it arrived
- * @due_us: when its answer should be there
- * @expires_us: when its answer is of no use any more
+ * struct jl_lane_item - a request in the lane, embedded in its owner
+ * @rank: priority; 0 is the most important
+ * @since_us: arrival time
+ * @due_us: time by which its answer should be there
+ * @expires_us: time after which its answer is useless
  * @waiting: whether it is in the queue
  */
 struct jl_lane_item
@@ -36,64 +37,71 @@
 };
 
 /**
- * struct jl_lane - the queue
+ * struct jl_lane - the limit and the queue
  * @limit: items that may run at once
- * @running: items that do
+ * @running: items that run now
  * @waiting: items in the queue
- * @first: items of rank 0, in order of arrival
- * @others: the rest, by the time at which they are due
+ * @rank_zero: queued items of rank 0, in order of arrival
+ * @by_due_time: queued items of all other ranks, in order of their due times
  */
 struct jl_lane
 {
   unsigned limit;
   unsigned running;
   unsigned waiting;
-  struct cds_list_head first;
-  struct cds_list_head others;
+  struct cds_list_head rank_zero;
+  struct cds_list_head by_due_time;
 };
 
 void jl_lane_init (struct jl_lane *lane);
 
 /**
- * jl_lane_arrive - a work item has come
+ * jl_lane_submit - runs a new item, or queues it
  *
- * Return: whether it runs now; otherwise it waits.
+ * Return: true if it runs now, false if it waits.
  */
-bool jl_lane_arrive (struct jl_lane *lane, struct jl_lane_item *item);
+bool jl_lane_submit (struct jl_lane *lane, struct jl_lane_item *item);
 
 /**
- * jl_lane_is_long - whether @item would spend much of its time in the queue
- * @held_us: time for which a run holds a slot
+ * jl_lane_is_too_long - whether @item would spend too much of its time in the
+ * queue
+ * @held_us: mean time for which a run holds a slot
  *
- * Answers a target that has just joined, or turned slow, and gets more than it
- * can do before its entries know: another target may still do that in time.
+ * A target that has just joined or has become slow may receive more requests
+ * than it can run until the entries learn of it. Another target may still
+ * complete the refused requests in time.
  */
-bool jl_lane_is_long (const struct jl_lane *lane,
-                      const struct jl_lane_item *item,
-                      uint64_t held_us);
+bool jl_lane_is_too_long (const struct jl_lane *lane,
+                          const struct jl_lane_item *item,
+                          uint64_t held_us);
 
 /**
- * jl_lane_done - a running item has ended
+ * jl_lane_finish - frees the slot of a running item that has ended
  */
-void jl_lane_done (struct jl_lane *lane);
+void jl_lane_finish (struct jl_lane *lane);
 
 /**
- * jl_lane_next - the waiting item that runs now, NULL while none can
+ * jl_lane_take_next - removes the next item to run from the queue and takes a
+ * slot for it
+ *
+ * Return: the item, or NULL if the queue is empty or no slot is free.
  */
-struct jl_lane_item *jl_lane_next (struct jl_lane *lane);
+struct jl_lane_item *jl_lane_take_next (struct jl_lane *lane);
 
 /**
- * jl_lane_remove - a waiting item is given up
+ * jl_lane_remove - removes a waiting item from the queue
  */
 void jl_lane_remove (struct jl_lane *lane, struct jl_lane_item *item);
 
 /**
- * jl_lane_expired - a waiting item that cannot end in time, taken out
- * @needed_us: time that a run takes
+ * jl_lane_take_expired - removes a waiting item that cannot end in time from
+ * the queue
+ * @needed_us: duration of a run
  *
- * Return: NULL when there is none.
+ * Return: the item, or NULL if there is none.
  */
-struct jl_lane_item *
-jl_lane_expired (struct jl_lane *lane, uint64_t now_us, uint64_t needed_us);
+struct jl_lane_item *jl_lane_take_expired (struct jl_lane *lane,
+                                           uint64_t now_us,
+                                           uint64_t needed_us);
 
 #endif
--- /dev/null
+++ b/source/policy/load-shedder.c
@@ -0,0 +1,115 @@
+/**
+ * DOC: Computes the share of the demand for a target that entries should
+ * refuse.
+ */
+
+#include "policy/load-shedder.h"
+
+#include <string.h>
+
+/* Weight of a new hold time in the moving average. */
+#define HOLD_WEIGHT 0.03
+/* Weight of a window in the moving average of the arrival rate. */
+#define RATE_WEIGHT 0.25
+/* Utilization up to which requests of other zones are admitted. */
+#define SPARE_UTILIZATION 0.85
+/* Time in which the queue should reach the desired length, in seconds. */
+#define QUEUE_CORRECTION_S 0.5
+/* Desired queue length for each slot. It keeps the target busy while arrivals
+ * fluctuate. */
+#define QUEUE_PER_SLOT 0.6
+/* Share of the difference to the computed share that one window corrects. */
+#define STEP_UP_SHARE 0.5
+#define STEP_DOWN_SHARE 0.2
+/* Largest share that is refused. The requests that remain show the demand. */
+#define SHED_MAX 0.995
+/* Smaller shares become 0 once nothing has to be refused. */
+#define SHED_MIN 0.01
+
+void
+jl_load_shedder_init (struct jl_load_shedder *shedder)
+{
+  memset (shedder, 0, sizeof *shedder);
+  shedder->spare_share = 1;
+  shedder->admitted = 1;
+  for (unsigned i = 0; i < JL_CONTROL_DELAY_WINDOWS; i++)
+    shedder->history[i] = 1;
+}
+
+void
+jl_load_shedder_count_arrival (struct jl_load_shedder *shedder)
+{
+  shedder->arrivals++;
+}
+
+void
+jl_load_shedder_record_hold (struct jl_load_shedder *shedder, uint64_t held_us)
+{
+  double held = (double)held_us;
+
+  if (shedder->hold_us <= 0)
+    shedder->hold_us = held;
+  else
+    shedder->hold_us += HOLD_WEIGHT * (held - shedder->hold_us);
+}
+
+double
+jl_load_shedder_capacity (const struct jl_load_shedder *shedder, unsigned limit)
+{
+  if (shedder->hold_us <= 0)
+    return 0;
+  return limit * (double)JL_USEC_PER_SEC / shedder->hold_us;
+}
+
+/* Returns the arrivals a second that bring the queue to the desired length. */
+static double
+desired_rate (double capacity, unsigned limit, unsigned waiting)
+{
+  double backlog = waiting - QUEUE_PER_SLOT * limit;
+
+  return MAX (capacity - backlog / QUEUE_CORRECTION_S, 0);
+}
+
+/* Averages the admitted share of JL_CONTROL_DELAY_WINDOWS windows ago, which
+ * shows in the arrivals of this window, and stores the current one. */
+static void
+update_admitted (struct jl_load_shedder *shedder)
+{
+  double *slot = &shedder->history[shedder->window % JL_CONTROL_DELAY_WINDOWS];
+
+  shedder->admitted += RATE_WEIGHT * (*slot - shedder->admitted);
+  *slot = 1 - shedder->shed;
+  shedder->window++;
+}
+
+static void
+update_shed (struct jl_load_shedder *shedder, double desired)
+{
+  double demand = shedder->rate / shedder->admitted;
+  double shed = demand > desired ? 1 - desired / demand : 0;
+  double step = shed > shedder->shed ? STEP_UP_SHARE : STEP_DOWN_SHARE;
+
+  shedder->shed += step * (shed - shedder->shed);
+  if (shed <= 0 && shedder->shed < SHED_MIN)
+    shedder->shed = 0;
+  shedder->shed = MIN (shedder->shed, SHED_MAX);
+}
+
+void
+jl_load_shedder_end_window (struct jl_load_shedder *shedder,
+                            unsigned limit,
+                            unsigned waiting)
+{
+  double capacity = jl_load_shedder_capacity (shedder, limit);
+  double rate = shedder->arrivals * (double)JL_USEC_PER_SEC
+                / (double)JL_CONTROL_WINDOW_US;
+
+  shedder->arrivals = 0;
+  shedder->rate += RATE_WEIGHT * (rate - shedder->rate);
+  update_admitted (shedder);
+  if (capacity <= 0)
+    return;
+  update_shed (shedder, desired_rate (capacity, limit, waiting));
+  shedder->spare_share
+      = CLAMP (SPARE_UTILIZATION - shedder->rate / capacity, 0, 1);
+}
--- /dev/null
+++ b/source/policy/load-shedder.h
@@ -0,0 +1,81 @@
+#ifndef JACKDAWLADDER_LOAD_SHEDDER_H
+#define JACKDAWLADDER_LOAD_SHEDDER_H
+
+/**
+ * DOC: Computes the share of the demand for a target that entries should
+ * refuse.
+ *
+ * It keeps the demand within the target's capacity. The arrivals of a window
+ * are the demand times the share that was admitted a few windows ago. Dividing
+ * by that share gives the whole demand. The demand and the target's capacity
+ * (its limit divided by the time for which a request holds a slot) give the
+ * share to refuse. A long queue reduces the capacity until the queue is short.
+ */
+
+#include "jackdawladder/base.h"
+
+/* Length of a control window. */
+#define JL_CONTROL_WINDOW_US (100 * JL_USEC_PER_MSEC)
+
+/* Windows until a refusal at an entry lowers the arrivals at a target deep in
+ * the call graph. */
+#define JL_CONTROL_DELAY_WINDOWS 3
+
+/**
+ * struct jl_load_shedder - state for one target
+ * @shed: share of the demand that entries should refuse, 0 to 1
+ * @spare_share: share of the capacity that is free for other zones, 0 to 1
+ * @hold_us: exponential moving average of the time for which a request holds a
+ *           slot
+ * @rate: arrivals a second, exponential moving average
+ * @admitted: admitted share of the demand, averaged like @rate
+ * @history: ring of the admitted shares of past windows that do not show in
+ *           @rate yet
+ * @window: number of windows so far
+ * @arrivals: arrivals in this window
+ */
+struct jl_load_shedder
+{
+  double shed;
+  double spare_share;
+  double hold_us;
+  double rate;
+  double admitted;
+  double history[JL_CONTROL_DELAY_WINDOWS];
+  unsigned window;
+  unsigned arrivals;
+};
+
+void jl_load_shedder_init (struct jl_load_shedder *shedder);
+
+/**
+ * jl_load_shedder_count_arrival - counts a request that arrives at the target
+ */
+void jl_load_shedder_count_arrival (struct jl_load_shedder *shedder);
+
+/**
+ * jl_load_shedder_record_hold - records that a request held its slot for
+ * @held_us
+ */
+void jl_load_shedder_record_hold (struct jl_load_shedder *shedder,
+                                  uint64_t held_us);
+
+/**
+ * jl_load_shedder_end_window - updates the shares at the end of a control
+ * window
+ * @limit: requests that may run at once
+ * @waiting: requests in the queue
+ */
+void jl_load_shedder_end_window (struct jl_load_shedder *shedder,
+                                 unsigned limit,
+                                 unsigned waiting);
+
+/**
+ * jl_load_shedder_capacity - returns the target's capacity in requests a second
+ *
+ * Return: the capacity, or 0 while it is not known.
+ */
+double jl_load_shedder_capacity (const struct jl_load_shedder *shedder,
+                                 unsigned limit);
+
+#endif
--- a/source/policy/origin.c
+++ b/source/policy/origin.c
@@ -4,14 +4,14 @@
 
 #include "policy/origin.h"
 
-/* What a count keeps from one window to the next: halved in 3 s. */
-#define KEEP 0.94
-/* Requests of other routes that make the lack of one a sign. */
-#define ENOUGH 40.0
-/* A count below this is forgotten. */
-#define FORGET 0.05
-/* A route whose part is smaller is lacking. */
-#define LACKING 0.3
+/* Factor by which counts decay in each window: half-life about 3 s. */
+#define DECAY_FACTOR 0.94
+/* Smallest total of all counts that allows a decision on one route. */
+#define TOTAL_MIN 40.0
+/* Routes with a smaller count are removed. */
+#define COUNT_MIN 0.05
+/* Routes with a smaller count are taken as absent. */
+#define ABSENT_BELOW 0.3
 
 void
 jl_arrivals_add (struct jl_arrivals *arrivals, uint32_t route, double count)
@@ -22,7 +22,7 @@
         arrivals->list[i].count += count;
         return;
       }
-  if (arrivals->count == JL_ARRIVALS_MAX)
+  if (arrivals->count == JL_ARRIVAL_ROUTES_MAX)
     return;
   arrivals->list[arrivals->count].route = route;
   arrivals->list[arrivals->count].count = count;
@@ -30,21 +30,21 @@
 }
 
 void
-jl_arrivals_fade (struct jl_arrivals *arrivals)
+jl_arrivals_decay (struct jl_arrivals *arrivals)
 {
   unsigned kept = 0;
 
   for (unsigned i = 0; i < arrivals->count; i++)
     {
-      arrivals->list[i].count *= KEEP;
-      if (arrivals->list[i].count >= FORGET)
+      arrivals->list[i].count *= DECAY_FACTOR;
+      if (arrivals->list[i].count >= COUNT_MIN)
         arrivals->list[kept++] = arrivals->list[i];
     }
   arrivals->count = kept;
 }
 
 bool
-jl_arrivals_lack (const struct jl_arrivals *arrivals, uint32_t route)
+jl_arrivals_is_route_absent (const struct jl_arrivals *arrivals, uint32_t route)
 {
   double total = 0;
   double own = 0;
@@ -55,5 +55,5 @@
       if (arrivals->list[i].route == route)
         own = arrivals->list[i].count;
     }
-  return total >= ENOUGH && own < LACKING;
+  return total >= TOTAL_MIN && own < ABSENT_BELOW;
 }
--- a/source/policy/origin.h
+++ b/source/policy/origin.h
@@ -5,20 +5,21 @@
  * DOC: Whether a route's requests come from clients or from targets.
  *
  * Both arrive at the same address, and nothing in a request tells them apart.
- * But clients send to the daemons of all services alike, while a target's
- * calls arrive beside targets of its own service only. So a route that one
- * service's daemons never see, though they see enough of others, carries calls.
+ * But clients send requests to the daemons of all services, while a target
+ * sends its calls only to the daemon beside it. So a route carries calls if
+ * there is a service whose daemons receive enough requests of other routes, but
+ * none of this route.
  */
 
 #include "jackdawladder/base.h"
 
 /* Routes whose arrivals one daemon counts. */
-#define JL_ARRIVALS_MAX 32
+#define JL_ARRIVAL_ROUTES_MAX 32
 
 /**
- * struct jl_arrival - how often requests of a route came lately
+ * struct jl_arrival - recent requests of one route
  * @route: the route's key
- * @count: over some seconds, older ones weighing less
+ * @count: exponentially decaying number over some seconds
  */
 struct jl_arrival
 {
@@ -27,28 +28,33 @@
 };
 
 /**
- * struct jl_arrivals - what came to one daemon, or to those of one service
+ * struct jl_arrivals - recent requests at one daemon, or at the daemons of one
+ * service, by route
  */
 struct jl_arrivals
 {
   unsigned count;
-  struct jl_arrival list[JL_ARRIVALS_MAX];
+  struct jl_arrival list[JL_ARRIVAL_ROUTES_MAX];
 };
 
 /**
- * jl_arrivals_add - @count more requests of @route have come
+ * jl_arrivals_add - counts @count more requests of @route
+ *
+ * Requests of a new route are not counted when the list is full.
  */
 void
 jl_arrivals_add (struct jl_arrivals *arrivals, uint32_t route, double count);
 
 /**
- * jl_arrivals_fade - about a quarter of a second has passed
+ * jl_arrivals_decay - decays the counts; called about every quarter of a second
  */
-void jl_arrivals_fade (struct jl_arrivals *arrivals);
+void jl_arrivals_decay (struct jl_arrivals *arrivals);
 
 /**
- * jl_arrivals_lack - whether a service's daemons see enough, but not @route
+ * jl_arrivals_is_route_absent - whether @arrivals holds enough requests, but
+ * almost none of @route
  */
-bool jl_arrivals_lack (const struct jl_arrivals *arrivals, uint32_t route);
+bool jl_arrivals_is_route_absent (const struct jl_arrivals *arrivals,
+                                  uint32_t route);
 
 #endif
--- a/source/policy/site.c
+++ b/source/policy/site.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A site's configuration as the proxy uses it.
+ * DOC: The configuration of a site, as the proxy uses it.
  */
 
 #include "jackdawladder/site.h"
@@ -34,14 +34,14 @@
 }
 
 struct jl_site *
-jl_site_keep (struct jl_site *site)
+jl_site_ref (struct jl_site *site)
 {
   site->references++;
   return site;
 }
 
 void
-jl_site_drop (struct jl_site *site)
+jl_site_unref (struct jl_site *site)
 {
   if (site == NULL || --site->references > 0)
     return;
@@ -52,7 +52,7 @@
 }
 
 static GPtrArray *
-host_routes (struct jl_site *site, const char *host)
+routes_of_host (struct jl_site *site, const char *host)
 {
   GPtrArray *routes = g_hash_table_lookup (site->by_host, host);
 
@@ -64,7 +64,7 @@
 }
 
 void
-jl_site_add (struct jl_site *site, const struct jl_route *route)
+jl_site_add_route (struct jl_site *site, const struct jl_route *route)
 {
   struct jl_route *copy = g_memdup2 (route, sizeof *route);
   char *host = g_ascii_strdown (route->host, -1);
@@ -72,12 +72,13 @@
   copy->key = jl_name_key (route->name);
   g_ptr_array_add (site->routes, copy);
   g_hash_table_insert (site->by_key, GUINT_TO_POINTER (copy->key), copy);
-  g_ptr_array_add (host_routes (site, host), copy);
+  g_ptr_array_add (routes_of_host (site, host), copy);
   g_free (host);
 }
 
+/* Orders routes from the longest prefix to the shortest. */
 static gint
-longer_first (gconstpointer a, gconstpointer b)
+compare_prefix_length (gconstpointer a, gconstpointer b)
 {
   const struct jl_route *first = *(const struct jl_route *const *)a;
   const struct jl_route *second = *(const struct jl_route *const *)b;
@@ -95,11 +96,13 @@
 
   g_hash_table_iter_init (&iter, site->by_host);
   while (g_hash_table_iter_next (&iter, NULL, &routes))
-    g_ptr_array_sort (routes, longer_first);
+    g_ptr_array_sort (routes, compare_prefix_length);
 }
 
 const struct jl_route *
-jl_site_find (const struct jl_site *site, const char *host, const char *target)
+jl_site_find_route (const struct jl_site *site,
+                    const char *host,
+                    const char *target)
 {
   char name[JL_TEXT_SIZE];
   const GPtrArray *routes;
@@ -122,7 +125,7 @@
 }
 
 const struct jl_route *
-jl_site_route (const struct jl_site *site, uint32_t key)
+jl_site_route_by_key (const struct jl_site *site, uint32_t key)
 {
   if (site == NULL)
     return NULL;
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -84,7 +84,7 @@
              const struct beacon_message *message,
              uint64_t now_us)
 {
-  bool was_heard = jl_member_is_heard (member, now_us);
+  bool was_heard = jl_member_is_alive (member, now_us);
 
   if (message->format == FORMAT_BRIEF)
     return;
@@ -123,12 +123,12 @@
   member->state = (enum jl_target_state)message->state;
   member->limit = message->limit;
   member->shed = message->shed_milli / 1000.0;
-  member->room = message->room_milli / 1000.0;
+  member->spare_share = message->room_milli / 1000.0;
   member->capacity
       = message->hold_us > 0 ? member->limit * 1e6 / message->hold_us : 0;
-  member->failing = message->failing_milli / 1000.0;
+  member->failure_rate = message->failing_milli / 1000.0;
   member->site_version = message->site_version;
-  member->heard_us = now_us;
+  member->last_beacon_us = now_us;
 }
 
 static bool
@@ -148,7 +148,8 @@
       || strcmp (message->name, proxy->options->name) == 0)
     return;
   member = jl_roster_member (&proxy->roster, message->name);
-  if (!jl_member_is_newer (member, message->epoch, message->sequence, now_us))
+  if (!jl_member_is_newer_beacon (member, message->epoch, message->sequence,
+                                  now_us))
     return;
   /* A brief one says nothing of a life that is not known yet. */
   if (message->format == FORMAT_BRIEF && member->epoch != message->epoch)
@@ -162,7 +163,7 @@
     }
   if (message->format == FORMAT_FULL)
     take_identity (member, message);
-  member->far = !is_near (proxy, member);
+  member->in_other_zone = !is_near (proxy, member);
   take_state (member, message, now_us);
   if (proxy->site == NULL || message->site_version > proxy->site->version)
     jl_proxy_site_behind (proxy, member);
@@ -246,9 +247,9 @@
     .state = proxy->self->state,
     .limit = proxy->lane.limit,
     .shed_milli = (u_int)lround (proxy->pressure.shed * 1000),
-    .room_milli = (u_int)lround (proxy->pressure.room * 1000),
+    .room_milli = (u_int)lround (proxy->pressure.spare_share * 1000),
     .hold_us = (u_int)proxy->pressure.hold_us,
-    .failing_milli = (u_int)lround (proxy->self->failing * 1000),
+    .failing_milli = (u_int)lround (proxy->self->failure_rate * 1000),
     .site_version = proxy->site != NULL ? proxy->site->version : 0,
   };
   XDR xdr;
@@ -290,7 +291,8 @@
   struct jl_proxy *proxy = beacon->proxy;
   char datagram[DATAGRAM_MAX];
   size_t size = encode (beacon, full, datagram);
-  double share = jl_roster_told_share (&proxy->roster, proxy->self, jl_now ());
+  double share
+      = jl_roster_announce_share (&proxy->roster, proxy->self, jl_now ());
 
   for (guint i = 0; i < proxy->roster.members->len; i++)
     {
@@ -300,7 +302,7 @@
       if (member == proxy->self || member->peer.port == 0
           || is_near (proxy, member) != near)
         continue;
-      if (near || jl_member_tells (proxy->self, member, share))
+      if (near || jl_member_announces_to (proxy->self, member, share))
         send_to (beacon, member->peer, datagram, size);
     }
 }
@@ -312,8 +314,8 @@
 
   beacon->sent_us = jl_now ();
   beacon->told_shed = proxy->pressure.shed;
-  beacon->told_room = proxy->pressure.room;
-  beacon->told_failing = proxy->self->failing;
+  beacon->told_room = proxy->pressure.spare_share;
+  beacon->told_failing = proxy->self->failure_rate;
   send_to_zone (beacon, true, true);
 }
 
@@ -329,11 +331,11 @@
 static bool
 is_change_due (const struct jl_beacon *beacon)
 {
-  const struct jl_pressure *pressure = &beacon->proxy->pressure;
+  const struct jl_load_shedder *pressure = &beacon->proxy->pressure;
 
   return fabs (pressure->shed - beacon->told_shed) > CHANGE_MIN
-         || fabs (pressure->room - beacon->told_room) > CHANGE_MIN * 3
-         || fabs (beacon->proxy->self->failing - beacon->told_failing)
+         || fabs (pressure->spare_share - beacon->told_room) > CHANGE_MIN * 3
+         || fabs (beacon->proxy->self->failure_rate - beacon->told_failing)
                 > CHANGE_MIN * 2
          || (pressure->shed > 0) != (beacon->told_shed > 0);
 }
--- a/source/proxy/call.c
+++ b/source/proxy/call.c
@@ -44,7 +44,7 @@
   jl_timer_stop (call->proxy->loop->timers, &call->timer);
   jl_call_drop_sending (call);
   cds_list_del (&call->link);
-  jl_site_drop (call->site);
+  jl_site_unref (call->site);
   jl_relay_clear (&call->relay);
   g_free (call);
 }
@@ -60,7 +60,7 @@
   char *lines = g_strdup_printf ("Content-Type: text/plain\r\n%s", fields);
 
   if (call->from_target)
-    jl_failing_call (&call->proxy->failing);
+    jl_failure_rate_count_failed_call (&call->proxy->failing);
   jl_request_set_data (request, NULL);
   jl_call_drop_sending (call);
   jl_request_reply (request, status, lines, body, strlen (body));
@@ -72,7 +72,8 @@
 static const struct jl_plan *
 plan_of (const struct jl_call *call)
 {
-  static const struct jl_plan none = { .keep = 1, .service = "-" };
+  static const struct jl_plan none
+      = { .admit_share = 1, .limiting_service = "-" };
   const struct jl_proxy *proxy = call->proxy;
 
   for (unsigned i = 0; call->route != NULL && i < proxy->demand_count; i++)
@@ -96,15 +97,16 @@
 
   after_ms = MIN (after_ms, left_ms / RETRY_AFTER_PART);
   proxy->counters.refused++;
-  jl_record (
-      JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
-      "id=%s route=%s reason=%s placements=%u age_ms=%" PRIu64
-      " left_ms=%" PRIu64 " retry_after_ms=%" PRIu64 " site=%" PRIx64
-      " short_of=%s shed=%.2f keep=%.2f beliefs_age_ms=%" PRIu64,
-      jl_call_attempt (call), call->route != NULL ? call->route->name : "-",
-      reason, call->tried_count, jl_call_age_ms (call), left_ms, after_ms,
-      call->site != NULL ? call->site->version : 0, plan->service, plan->shed,
-      plan->keep, (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
+  jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
+             "id=%s route=%s reason=%s placements=%u age_ms=%" PRIu64
+             " left_ms=%" PRIu64 " retry_after_ms=%" PRIu64 " site=%" PRIx64
+             " short_of=%s shed=%.2f keep=%.2f beliefs_age_ms=%" PRIu64,
+             jl_call_attempt (call),
+             call->route != NULL ? call->route->name : "-", reason,
+             call->tried_count, jl_call_age_ms (call), left_ms, after_ms,
+             call->site != NULL ? call->site->version : 0,
+             plan->limiting_service, plan->shed, plan->admit_share,
+             (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
   g_snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n",
               (double)after_ms / 1000);
   jl_call_answer (call, 503, fields, reason);
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -1,18 +1,19 @@
 /**
- * DOC: What clients ask for, and what follows from it for each route.
+ * DOC: The demand of this daemon's clients by route, and what is derived from
+ * it.
  */
 
 #include "proxy/demand.h"
 
 #include <string.h>
 
-/* Weight of a window in the smoothed demand. */
+/* Weight of a window in the moving average of the demand. */
 #define DEMAND_WEIGHT 0.15
-/* Windows between two classifications of routes. */
+/* Control windows between two classifications of routes. */
 #define CLASSIFY_WINDOWS 3
 
-struct jl_budget *
-jl_demand_budget (struct jl_proxy *proxy, const char *service)
+struct jl_retry_budget *
+jl_demand_retry_budget (struct jl_proxy *proxy, const char *service)
 {
   struct jl_service_budget *entry;
 
@@ -26,21 +27,21 @@
   return &entry->budget;
 }
 
-struct jl_budget_terms
-jl_demand_terms (struct jl_proxy *proxy)
+struct jl_retry_budget_policy
+jl_demand_retry_policy (struct jl_proxy *proxy)
 {
-  struct jl_budget_terms terms = {
+  struct jl_retry_budget_policy policy = {
     .ratio = proxy->options->retry_ratio,
     .slack = proxy->options->retry_slack,
     .window_us = proxy->options->retry_window_us,
-    .daemons = MAX (proxy->roster.members->len, 1),
+    .daemon_count = MAX (proxy->roster.members->len, 1),
   };
 
-  return terms;
+  return policy;
 }
 
 struct jl_demand *
-jl_demand_of (struct jl_proxy *proxy, const struct jl_route *route)
+jl_demand_track (struct jl_proxy *proxy, const struct jl_route *route)
 {
   struct jl_demand *demand;
 
@@ -52,12 +53,13 @@
   demand = &proxy->demands[proxy->demand_count++];
   demand->route = route->key;
   demand->plan.zone = proxy->roster.own_zone;
-  demand->plan.keep = 1;
-  demand->plan.service = "";
+  demand->plan.admit_share = 1;
+  demand->plan.limiting_service = "";
   return demand;
 }
 
-/* Classifies each route that came lately; that holds until the next window. */
+/* Determines which of the routes with recent requests carry calls of targets.
+ * The result is used until the next classification. */
 static void
 classify_routes (struct jl_proxy *proxy)
 {
@@ -66,105 +68,114 @@
 
   proxy->call_route_count = 0;
   for (unsigned i = 0; i < arrivals->count; i++)
-    if (jl_roster_is_call (&proxy->roster, arrivals->list[i].route, now_us))
+    if (jl_roster_is_call_route (&proxy->roster, arrivals->list[i].route,
+                                 now_us))
       proxy->call_routes[proxy->call_route_count++] = arrivals->list[i].route;
 }
 
+/* Estimates the call tree of a route anew; it is empty if the configuration in
+ * force lacks the route. */
 static void
-update_needs (struct jl_proxy *proxy, struct jl_demand *demand)
+update_call_tree (struct jl_proxy *proxy, struct jl_demand *demand)
 {
-  const struct jl_route *route = jl_site_route (proxy->site, demand->route);
+  const struct jl_route *route
+      = jl_site_route_by_key (proxy->site, demand->route);
 
-  demand->needs.count = 0;
+  demand->tree.count = 0;
   if (route == NULL)
     return;
   demand->rank = route->rank;
-  jl_place_needs (&proxy->roster, proxy->site, route, &demand->needs);
+  jl_call_tree_estimate (&proxy->roster, proxy->site, route, &demand->tree);
 }
 
+/* Whether the budgets of all services in @tree allow a retry. */
 static bool
-allows_repeat (struct jl_proxy *proxy,
-               const struct jl_needs *needs,
-               const struct jl_budget_terms *terms,
-               uint64_t now_us)
+allows_retry (struct jl_proxy *proxy,
+              const struct jl_call_tree *tree,
+              const struct jl_retry_budget_policy *policy,
+              uint64_t now_us)
 {
-  for (unsigned i = 0; i < needs->count; i++)
+  for (unsigned i = 0; i < tree->count; i++)
     {
-      const char *service = needs->list[i].service;
-      struct jl_budget *budget = jl_demand_budget (proxy, service);
+      const char *service = tree->nodes[i].service;
+      struct jl_retry_budget *budget = jl_demand_retry_budget (proxy, service);
 
       if (budget == NULL
-          || !jl_budget_allows (budget, terms, now_us,
-                                jl_needs_runs (needs, service)))
+          || !jl_retry_budget_allows (budget, policy, now_us,
+                                      jl_call_tree_runs (tree, service)))
         return false;
     }
   return true;
 }
 
 bool
-jl_demand_spend_repeat (struct jl_proxy *proxy,
-                        const struct jl_site *site,
-                        const struct jl_route *route)
+jl_demand_spend_retry (struct jl_proxy *proxy,
+                       const struct jl_site *site,
+                       const struct jl_route *route)
 {
-  struct jl_budget_terms terms = jl_demand_terms (proxy);
+  struct jl_retry_budget_policy policy = jl_demand_retry_policy (proxy);
   uint64_t now_us = jl_now ();
-  struct jl_needs needs;
+  struct jl_call_tree tree;
 
-  jl_place_needs (&proxy->roster, site, route, &needs);
-  if (!allows_repeat (proxy, &needs, &terms, now_us))
+  jl_call_tree_estimate (&proxy->roster, site, route, &tree);
+  if (!allows_retry (proxy, &tree, &policy, now_us))
     return false;
-  for (unsigned i = 0; i < needs.count; i++)
-    jl_budget_spend (jl_demand_budget (proxy, needs.list[i].service), &terms,
-                     now_us, needs.list[i].runs);
+  for (unsigned i = 0; i < tree.count; i++)
+    jl_retry_budget_spend (
+        jl_demand_retry_budget (proxy, tree.nodes[i].service), &policy, now_us,
+        tree.nodes[i].runs);
   return true;
 }
 
 const char *
-jl_demand_call_zone (struct jl_proxy *proxy, const char *service, double draw)
+jl_demand_choose_call_zone (struct jl_proxy *proxy,
+                            const char *service,
+                            double draw)
 {
   struct jl_overflow *overflow;
 
   for (unsigned i = 0; i < proxy->overflow_count; i++)
     if (strcmp (proxy->overflows[i].service, service) == 0)
-      return jl_overflow_zone (&proxy->overflows[i], &proxy->roster, draw);
+      return jl_overflow_choose_zone (&proxy->overflows[i], &proxy->roster,
+                                      draw);
   if (proxy->overflow_count == JL_OVERFLOW_MAX)
     return proxy->roster.own_zone;
   overflow = &proxy->overflows[proxy->overflow_count++];
-  *overflow = jl_overflow_of (&proxy->roster, service, jl_now ());
-  return jl_overflow_zone (overflow, &proxy->roster, draw);
+  *overflow = jl_overflow_compute (&proxy->roster, service, jl_now ());
+  return jl_overflow_choose_zone (overflow, &proxy->roster, draw);
 }
 
 void
-jl_demand_window (struct jl_proxy *proxy)
+jl_demand_end_window (struct jl_proxy *proxy)
 {
-  double window_s = (double)JL_PRESSURE_WINDOW_US / (double)JL_USEC_PER_SEC;
+  double window_s = (double)JL_CONTROL_WINDOW_US / (double)JL_USEC_PER_SEC;
 
   for (unsigned i = 0; i < proxy->demand_count; i++)
     {
       struct jl_demand *demand = &proxy->demands[i];
 
-      demand->rate
-          += DEMAND_WEIGHT * (demand->counted / window_s - demand->rate);
-      demand->counted = 0;
+      demand->rate += DEMAND_WEIGHT
+                      * (demand->window_requests / window_s - demand->rate);
+      demand->window_requests = 0;
     }
   if (proxy->ticks % CLASSIFY_WINDOWS == 0)
     {
-      jl_arrivals_fade (&proxy->self->arrivals);
+      jl_arrivals_decay (&proxy->self->arrivals);
       classify_routes (proxy);
     }
   for (unsigned i = 0; i < proxy->demand_count; i++)
-    update_needs (proxy, &proxy->demands[i]);
-  /* Worked out anew with the next call to each service. */
+    update_call_tree (proxy, &proxy->demands[i]);
+  /* The next call to each service computes its overflow again. */
   proxy->overflow_count = 0;
   proxy->planned_us = jl_now ();
   for (unsigned i = 0; i < proxy->demand_count; i++)
     proxy->demands[i].plan
-        = jl_plan_of (&proxy->roster, proxy->demands, proxy->demand_count,
-                      &proxy->demands[i], jl_now ());
+        = jl_plan_compute (&proxy->roster, proxy->demands, proxy->demand_count,
+                           &proxy->demands[i], jl_now ());
 }
 
 bool
-jl_demand_is_call (const struct jl_proxy *proxy, uint32_t route)
+jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route)
 {
   for (unsigned i = 0; i < proxy->call_route_count; i++)
     if (proxy->call_routes[i] == route)
--- a/source/proxy/demand.h
+++ b/source/proxy/demand.h
@@ -2,53 +2,65 @@
 #define JACKDAWLADDER_PROXY_DEMAND_H
 
 /**
- * DOC: What clients ask for, and what follows from it for each route: whether
- * its requests are calls of targets, which services they need, what becomes of
- * them until the next window, and what may be repeated.
+ * DOC: The demand of this daemon's clients by route, and what is derived from
+ * it: which routes carry calls of targets, the call tree and the plan of each
+ * route, the zone of calls, and the retry budgets.
  */
 
 #include "proxy/proxy.h"
 
 /**
- * jl_demand_of - the demand by a route, NULL when too many are tracked
+ * jl_demand_track - returns the demand by a route, which it adds if it is new
+ *
+ * Return: the demand, or NULL if JL_DEMAND_MAX routes are tracked already.
  */
-struct jl_demand *jl_demand_of (struct jl_proxy *proxy,
-                                const struct jl_route *route);
+struct jl_demand *jl_demand_track (struct jl_proxy *proxy,
+                                   const struct jl_route *route);
 
 /**
- * jl_demand_is_call - whether a route carries calls of targets
+ * jl_demand_is_call_route - whether a route carries calls of targets
+ * @route: the route's key
  */
-bool jl_demand_is_call (const struct jl_proxy *proxy, uint32_t route);
+bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route);
 
 /**
- * jl_demand_call_zone - where a call of the own target to @service goes
- * @draw: uniform, 0 to 1
+ * jl_demand_choose_call_zone - chooses the zone of a call of the own target to
+ * @service
+ * @draw: random number, uniform from 0 to 1
  */
-const char *
-jl_demand_call_zone (struct jl_proxy *proxy, const char *service, double draw);
+const char *jl_demand_choose_call_zone (struct jl_proxy *proxy,
+                                        const char *service,
+                                        double draw);
 
 /**
- * jl_demand_budget - the retry budget of a service, NULL when too many are
- * tracked
+ * jl_demand_retry_budget - returns the retry budget of a service, which it adds
+ * if it is new
+ *
+ * Return: the budget, or NULL if JL_BUDGET_MAX services are tracked already.
  */
-struct jl_budget *jl_demand_budget (struct jl_proxy *proxy,
-                                    const char *service);
+struct jl_retry_budget *jl_demand_retry_budget (struct jl_proxy *proxy,
+                                                const char *service);
 
-struct jl_budget_terms jl_demand_terms (struct jl_proxy *proxy);
+/**
+ * jl_demand_retry_policy - returns the limits of the retry budgets, from the
+ * options and the number of known daemons
+ */
+struct jl_retry_budget_policy jl_demand_retry_policy (struct jl_proxy *proxy);
 
 /**
- * jl_demand_spend_repeat - takes a repeat of a request by @route out of the
- * budgets of all services that it runs at
+ * jl_demand_spend_retry - charges a retry of a request by @route to the budgets
+ * of all services in its call tree
  *
- * Return: whether they allow it; nothing is taken otherwise.
+ * Return: whether all budgets allow the retry; otherwise nothing is charged.
  */
-bool jl_demand_spend_repeat (struct jl_proxy *proxy,
-                             const struct jl_site *site,
-                             const struct jl_route *route);
+bool jl_demand_spend_retry (struct jl_proxy *proxy,
+                            const struct jl_site *site,
+                            const struct jl_route *route);
 
 /**
- * jl_demand_window - a control window has ended: new plans for all routes
+ * jl_demand_end_window - updates the demand and the plans of all routes at the
+ * end of a control window
  */
-void jl_demand_window (struct jl_proxy *proxy);
+void jl_demand_end_window (struct jl_proxy *proxy);
 
 #endif
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -70,7 +70,7 @@
   call->arrivals++;
   jl_call_drop_sending (call);
   if (call->arrivals < call->route->attempts_max && can_place_again (call)
-      && jl_demand_spend_repeat (call->proxy, call->site, call->route))
+      && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
   else
     jl_call_give_up (call, reason);
@@ -80,14 +80,15 @@
 static void
 may_have_run (struct jl_call *call, const char *reason)
 {
-  bool repeatable = call->route->repeat == JL_REPEAT_ANY || JL_OFF ("once");
+  bool repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
+                    || JL_OFF ("once");
 
   call->arrivals++;
   call->may_have_run = true;
   jl_call_drop_sending (call);
   if (repeatable && call->arrivals < call->route->attempts_max
       && can_place_again (call)
-      && jl_demand_spend_repeat (call->proxy, call->site, call->route))
+      && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
   else
     jl_call_fail (call, 502, reason);
@@ -99,7 +100,7 @@
   struct jl_proxy *proxy = call->proxy;
 
   if (status >= 500 && call->from_target)
-    jl_failing_call (&proxy->failing);
+    jl_failure_rate_count_failed_call (&proxy->failing);
   proxy->counters.served++;
   jl_histogram_add (&proxy->counters.request_time, jl_now () - call->begun_us);
   if (jl_record_wanted (JL_RECORD_SUCCESS))
@@ -135,12 +136,12 @@
 static bool
 can_repeat_failed (struct jl_call *call)
 {
-  if (call->route->repeat != JL_REPEAT_ANY
+  if (call->route->retry_policy != JL_RETRY_POLICY_IDEMPOTENT
       || jl_upstream_head (call->relay.upstream)->status
              == STATUS_GATEWAY_TIMEOUT
       || call->arrivals + 1 >= call->route->attempts_max
       || !can_place_again (call)
-      || !jl_demand_spend_repeat (call->proxy, call->site, call->route))
+      || !jl_demand_spend_retry (call->proxy, call->site, call->route))
     return false;
   call->arrivals++;
   call->may_have_run = true;
@@ -262,9 +263,9 @@
   struct jl_work_line work = {
     .rank = call->route->rank,
     .left_ms = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
-    .goal_ms = (unsigned)(call->route->goal_us / JL_USEC_PER_MSEC),
+    .goal_ms = (unsigned)(call->route->latency_goal_us / JL_USEC_PER_MSEC),
     .route = call->route->key,
-    .repeatable = call->route->repeat == JL_REPEAT_ANY,
+    .repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT,
   };
   GString *text;
 
@@ -283,8 +284,8 @@
   struct jl_proxy *proxy = call->proxy;
   uint64_t now_us = jl_now ();
   struct jl_member *member
-      = jl_place_pick (&proxy->roster, call->service, call->zone, call->tried,
-                       call->tried_count, now_us);
+      = jl_place_choose_daemon (&proxy->roster, call->service, call->zone,
+                                call->tried, call->tried_count, now_us);
 
   if (member == NULL || now_us >= call->expires_us)
     {
@@ -349,8 +350,9 @@
   struct jl_proxy *proxy = call->proxy;
 
   proxy->counters.calls++;
-  jl_fanout_call (&proxy->fanout, call->route->key);
-  call->zone = jl_demand_call_zone (proxy, call->service, g_random_double ());
+  jl_fanout_count_call (&proxy->fanout, call->route->key);
+  call->zone
+      = jl_demand_choose_call_zone (proxy, call->service, g_random_double ());
   place_call (call);
 }
 
@@ -358,9 +360,10 @@
 begin_from_client (struct jl_call *call)
 {
   struct jl_proxy *proxy = call->proxy;
-  struct jl_demand *demand = jl_demand_of (proxy, call->route);
-  struct jl_budget_terms terms = jl_demand_terms (proxy);
-  struct jl_budget *budget = jl_demand_budget (proxy, call->service);
+  struct jl_demand *demand = jl_demand_track (proxy, call->route);
+  struct jl_retry_budget_policy terms = jl_demand_retry_policy (proxy);
+  struct jl_retry_budget *budget
+      = jl_demand_retry_budget (proxy, call->service);
 
   proxy->counters.requests++;
   if (jl_proxy_is_ending (proxy))
@@ -369,11 +372,11 @@
       return;
     }
   if (budget != NULL)
-    jl_budget_request (budget, &terms, jl_now ());
+    jl_retry_budget_count_request (budget, &terms, jl_now ());
   if (demand != NULL)
     {
-      demand->counted++;
-      call->zone = jl_plan_zone (&demand->plan, g_random_double ());
+      demand->window_requests++;
+      call->zone = jl_plan_choose_zone (&demand->plan, g_random_double ());
     }
   if (call->zone == NULL)
     jl_call_refuse (call, "overload");
@@ -408,9 +411,9 @@
       jl_call_refuse (call, "no-configuration");
       return;
     }
-  call->site = jl_site_keep (proxy->site);
+  call->site = jl_site_ref (proxy->site);
   if (host != NULL)
-    call->route = jl_site_find (call->site, host, jl_head_target (head));
+    call->route = jl_site_find_route (call->site, host, jl_head_target (head));
   if (call->route == NULL)
     {
       jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
@@ -420,7 +423,7 @@
       jl_call_answer (call, 404, "", "no-route");
       return;
     }
-  if (head->has_length && head->length > call->site->body_bytes)
+  if (head->has_length && head->length > call->site->body_bytes_max)
     {
       jl_call_answer (call, 413, "", "too-large");
       return;
@@ -428,7 +431,7 @@
   call->service = choose_service (call->route);
   set_deadline (call);
   jl_arrivals_add (&proxy->self->arrivals, call->route->key, 1);
-  call->from_target = jl_demand_is_call (proxy, call->route->key);
+  call->from_target = jl_demand_is_call_route (proxy, call->route->key);
   if (call->from_target)
     begin_from_target (call);
   else
@@ -447,7 +450,7 @@
   if (call == NULL || call->relay.passing)
     return;
   call->body_bytes += size;
-  if (call->body_bytes > call->site->body_bytes)
+  if (call->body_bytes > call->site->body_bytes_max)
     {
       jl_call_answer (call, 413, "", "too-large");
       return;
@@ -495,7 +498,7 @@
   cds_list_for_each_entry_safe (
       call, next, &proxy->calls,
       link) if (call->member != NULL && !call->relay.passing
-                && call->route->repeat == JL_REPEAT_ANY
-                && !jl_member_is_heard (call->member, now_us))
+                && call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
+                && !jl_member_is_alive (call->member, now_us))
       may_have_run (call, "member-silent");
 }
--- a/source/proxy/guard.c
+++ b/source/proxy/guard.c
@@ -72,7 +72,7 @@
   if (!work->running)
     return;
   work->running = false;
-  jl_lane_done (&proxy->lane);
+  jl_lane_finish (&proxy->lane);
 }
 
 static void
@@ -118,7 +118,7 @@
              work->line.left_ms, proxy->lane.running, proxy->lane.waiting,
              proxy->lane.limit, proxy->target.last.id,
              jl_target_state_name (proxy->target.state),
-             (jl_now () - proxy->target.heard_us) / JL_USEC_PER_MSEC);
+             (jl_now () - proxy->target.last_heartbeat_us) / JL_USEC_PER_MSEC);
   reply (work, 503, "not-run", reason);
 }
 
@@ -128,7 +128,7 @@
   struct jl_proxy *proxy = work->proxy;
 
   proxy->counters.work_lost++;
-  jl_failing_run (&proxy->failing, true);
+  jl_failure_rate_count_run (&proxy->failing, true);
   jl_record (JL_RECORD_FAILURE, JL_RECORD_WORK_FAILED,
              "id=%s reason=%s target=%s ran_ms=%" PRIu64 " running=%u",
              attempt_of (work), reason, proxy->target.last.id,
@@ -144,9 +144,9 @@
   struct jl_proxy *proxy = work->proxy;
   uint64_t held_us = jl_now () - work->started_us;
 
-  jl_pressure_done (&proxy->pressure, held_us);
-  jl_failing_run (&proxy->failing,
-                  status >= 500 && status != STATUS_GATEWAY_TIMEOUT);
+  jl_load_shedder_record_hold (&proxy->pressure, held_us);
+  jl_failure_rate_count_run (&proxy->failing,
+                             status >= 500 && status != STATUS_GATEWAY_TIMEOUT);
   jl_histogram_add (&proxy->counters.target_time, held_us);
   jl_histogram_add (&proxy->counters.lane_time,
                     work->started_us - work->item.since_us);
@@ -212,7 +212,7 @@
   struct jl_proxy *proxy = work->proxy;
   unsigned status = jl_upstream_head (work->relay.upstream)->status;
 
-  jl_failing_run (&proxy->failing, status != STATUS_MISDIRECTED);
+  jl_failure_rate_count_run (&proxy->failing, status != STATUS_MISDIRECTED);
   refuse_work (work, status == STATUS_MISDIRECTED ? "target-changed"
                                                   : "target-refused");
   jl_guard_pump (proxy);
@@ -269,7 +269,7 @@
 {
   if (proxy->target.state != JL_TARGET_UP)
     return;
-  jl_target_down (&proxy->target);
+  jl_target_mark_down (&proxy->target);
   jl_proxy_target_changed (proxy, cause);
 }
 
@@ -370,9 +370,10 @@
   uint64_t needed_us = (uint64_t)(proxy->pressure.hold_us / 2);
   struct jl_lane_item *item;
 
-  while ((item = jl_lane_expired (&proxy->lane, jl_now (), needed_us)) != NULL)
+  while ((item = jl_lane_take_expired (&proxy->lane, jl_now (), needed_us))
+         != NULL)
     refuse_work (work_of_item (item), "expired");
-  while ((item = jl_lane_next (&proxy->lane)) != NULL)
+  while ((item = jl_lane_take_next (&proxy->lane)) != NULL)
     start_work (work_of_item (item));
 }
 
@@ -421,15 +422,15 @@
       = work->item.since_us + work->line.left_ms * JL_USEC_PER_MSEC;
   work->item.due_us
       = work->item.since_us + work->line.goal_ms * JL_USEC_PER_MSEC;
-  jl_pressure_arrive (&proxy->pressure);
-  if (jl_lane_is_long (&proxy->lane, &work->item,
-                       (uint64_t)proxy->pressure.hold_us))
+  jl_load_shedder_count_arrival (&proxy->pressure);
+  if (jl_lane_is_too_long (&proxy->lane, &work->item,
+                           (uint64_t)proxy->pressure.hold_us))
     {
       refuse_work (work, "queue-long");
       return;
     }
-  jl_fanout_run (&proxy->fanout, work->line.route);
-  if (jl_lane_arrive (&proxy->lane, &work->item))
+  jl_fanout_count_run (&proxy->fanout, work->line.route);
+  if (jl_lane_submit (&proxy->lane, &work->item))
     start_work (work);
 }
 
--- a/source/proxy/pages.c
+++ b/source/proxy/pages.c
@@ -102,8 +102,8 @@
 static void
 take_leave (struct jl_proxy *proxy, struct jl_request *request, const char *id)
 {
-  if (jl_target_leave (&proxy->target, id,
-                       (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
+  if (jl_target_mark_left (&proxy->target, id,
+                           (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
     jl_proxy_target_changed (proxy, "left");
   answer_leaving (proxy, request);
 }
@@ -127,7 +127,7 @@
       return;
     }
   g_strlcpy (heartbeat.id, id, sizeof heartbeat.id);
-  if (jl_target_heartbeat (&proxy->target, &heartbeat, jl_now ()))
+  if (jl_target_apply_heartbeat (&proxy->target, &heartbeat, jl_now ()))
     jl_proxy_target_changed (proxy, "heartbeat");
   if (heartbeat.draining)
     answer_leaving (proxy, request);
@@ -268,7 +268,8 @@
       proxy->site != NULL ? proxy->site->version : 0, proxy->target.last.id,
       jl_target_state_name (proxy->target.state), proxy->lane.running,
       proxy->lane.waiting, proxy->lane.limit, proxy->pressure.shed,
-      proxy->pressure.room, proxy->pressure.hold_us / 1000, proxy->stopping);
+      proxy->pressure.spare_share, proxy->pressure.hold_us / 1000,
+      proxy->stopping);
   for (guint i = 0; i < proxy->roster.members->len; i++)
     {
       const struct jl_member *member
@@ -280,7 +281,7 @@
           "outstanding=%u\n",
           member->name, member->zone, member->service,
           jl_target_state_name (member->state),
-          jl_member_is_heard (member, now_us), member->shed,
+          jl_member_is_alive (member, now_us), member->shed,
           member->outstanding);
     }
 }
--- a/source/proxy/place.c
+++ b/source/proxy/place.c
@@ -1,57 +1,67 @@
 /**
- * DOC: Which services a request needs, and which daemon it is sent to.
+ * DOC: Estimates the call tree of a request, and chooses the daemon that a
+ * request is sent to.
  */
 
 #include "proxy/place.h"
 
 #include <string.h>
 
-/* Depth to which calls are followed. */
+/* Depth of calls at which the estimate stops. */
 #define DEPTH_MAX 10
-/* Runs for a request below which a service is left out. */
+/* Runs for each request below which a service is left out. */
 #define RUNS_MIN 0.02
-/* Times that a target which fails all its work counts as more loaded. */
-#define FAILING_LOAD 10.0
-/* Failing share above which a near target is passed over, if far ones are
- * better. */
-#define FAILING_MUCH 0.2
-
-/* Index of the need, JL_NONE when there are too many. */
+/* A target's load counts (1 + this times its failure rate) times. */
+#define FAILURE_LOAD_FACTOR 10.0
+/* Failure rate from which on a target in the preferred zone loses its
+ * preference over targets of other zones. */
+#define FAILURE_RATE_MAX 0.2
+
+/* Adds @runs to the node of @service below @parent. Returns the node's index,
+ * or JL_NONE if the tree is full. */
 static unsigned
-add_need (struct jl_needs *needs,
+add_node (struct jl_call_tree *tree,
           const char *service,
           double runs,
           unsigned parent)
 {
-  struct jl_need *need = needs->list;
+  struct jl_call_node *node = tree->nodes;
 
-  for (unsigned i = 0; i < needs->count; i++, need++)
-    if (need->parent == parent && strcmp (need->service, service) == 0)
+  for (unsigned i = 0; i < tree->count; i++, node++)
+    if (node->parent == parent && strcmp (node->service, service) == 0)
       {
-        need->runs += runs;
+        node->runs += runs;
         return i;
       }
-  if (needs->count == JL_NEED_MAX)
+  if (tree->count == JL_CALL_TREE_NODES_MAX)
     return JL_NONE;
-  need->service = g_intern_string (service);
-  need->runs = runs;
-  need->parent = parent;
-  return needs->count++;
+  node->service = g_intern_string (service);
+  node->runs = runs;
+  node->parent = parent;
+  return tree->count++;
 }
 
-/* Mean calls of kind @call by a run of @run, over the service's daemons. */
-struct mean
+/**
+ * struct call_sum - calls of one route by a run, summed over the daemons of a
+ * service
+ * @call: key of the call's route
+ * @sum: sum of the calls for each run
+ */
+struct call_sum
 {
   uint32_t call;
   double sum;
 };
 
+/* Sums up the calls that a run of route @run at @service makes, as estimated by
+ * the daemons of the service. Sets *@daemons to the number of daemons with an
+ * estimate; dividing by it gives the means. Returns the number of @sums. */
 static unsigned
-mean_fanout (const struct jl_roster *roster,
-             const char *service,
-             uint32_t run,
-             struct mean *means,
-             unsigned *daemons)
+sum_fanout (const struct jl_roster *roster,
+            const char *service,
+            uint32_t run,
+            struct call_sum *sums,
+            unsigned *daemons)
 {
   unsigned count = 0;
 
@@ -59,7 +69,7 @@
   for (guint i = 0; i < roster->members->len; i++)
     {
       const struct jl_member *member = g_ptr_array_index (roster->members, i);
-      bool knows = false;
+      bool has_estimate = false;
 
       if (strcmp (member->service, service) != 0)
         continue;
@@ -70,29 +80,31 @@
 
           if (entry->run != run)
             continue;
-          knows = true;
-          while (k < count && means[k].call != entry->call)
+          has_estimate = true;
+          while (k < count && sums[k].call != entry->call)
             k++;
-          if (k == JL_FANOUT_MAX)
+          if (k == JL_FANOUT_ROUTES_MAX)
             continue;
           if (k == count)
-            means[count++] = (struct mean){ entry->call, 0 };
-          means[k].sum += entry->calls;
+            sums[count++] = (struct call_sum){ entry->call, 0 };
+          sums[k].sum += entry->calls;
         }
-      if (knows)
+      if (has_estimate)
         (*daemons)++;
     }
   return count;
 }
 
+/* Adds the runs of a request or call by @route to the tree, and then those of
+ * the calls that these runs make. */
 static void
-follow (const struct jl_roster *roster,
-        const struct jl_site *site,
-        const struct jl_route *route,
-        double runs,
-        unsigned parent,
-        unsigned depth,
-        struct jl_needs *needs)
+expand_route (const struct jl_roster *roster,
+              const struct jl_site *site,
+              const struct jl_route *route,
+              double runs,
+              unsigned parent,
+              unsigned depth,
+              struct jl_call_tree *tree)
 {
   uint64_t weights = 0;
 
@@ -101,47 +113,48 @@
   for (unsigned i = 0; i < route->split_count && weights > 0; i++)
     {
       const struct jl_split *split = &route->split[i];
-      double part = runs * split->weight / (double)weights;
-      struct mean means[JL_FANOUT_MAX];
+      double part_runs = runs * split->weight / (double)weights;
+      struct call_sum sums[JL_FANOUT_ROUTES_MAX];
       unsigned daemons;
       unsigned count;
-      unsigned need;
+      unsigned node;
 
-      if (part < RUNS_MIN)
+      if (part_runs < RUNS_MIN)
         continue;
-      need = add_need (needs, split->service, part, parent);
-      if (need == JL_NONE)
+      node = add_node (tree, split->service, part_runs, parent);
+      if (node == JL_NONE)
         return;
-      count = mean_fanout (roster, split->service, route->key, means, &daemons);
+      count = sum_fanout (roster, split->service, route->key, sums, &daemons);
       for (unsigned j = 0; j < count && depth < DEPTH_MAX; j++)
         {
-          const struct jl_route *call = jl_site_route (site, means[j].call);
+          const struct jl_route *call
+              = jl_site_route_by_key (site, sums[j].call);
 
           if (call != NULL)
-            follow (roster, site, call, part * means[j].sum / daemons, need,
-                    depth + 1, needs);
+            expand_route (roster, site, call, part_runs * sums[j].sum / daemons,
+                          node, depth + 1, tree);
         }
     }
 }
 
 void
-jl_place_needs (const struct jl_roster *roster,
-                const struct jl_site *site,
-                const struct jl_route *route,
-                struct jl_needs *needs)
+jl_call_tree_estimate (const struct jl_roster *roster,
+                       const struct jl_site *site,
+                       const struct jl_route *route,
+                       struct jl_call_tree *tree)
 {
-  needs->count = 0;
-  follow (roster, site, route, 1, JL_NONE, 0, needs);
+  tree->count = 0;
+  expand_route (roster, site, route, 1, JL_NONE, 0, tree);
 }
 
 double
-jl_needs_runs (const struct jl_needs *needs, const char *service)
+jl_call_tree_runs (const struct jl_call_tree *tree, const char *service)
 {
   double runs = 0;
 
-  for (unsigned i = 0; i < needs->count; i++)
-    if (strcmp (needs->list[i].service, service) == 0)
-      runs += needs->list[i].runs;
+  for (unsigned i = 0; i < tree->count; i++)
+    if (strcmp (tree->nodes[i].service, service) == 0)
+      runs += tree->nodes[i].runs;
   return runs;
 }
 
@@ -156,7 +169,8 @@
   return false;
 }
 
-/* Requests a second for each slot, over the targets of a service. */
+/* Returns the mean capacity of a slot in requests a second, over the targets of
+ * a service. */
 static double
 mean_slot_rate (const struct jl_roster *roster, const char *service)
 {
@@ -176,8 +190,8 @@
 }
 
 /*
- * Load that one more request would find; a target not known yet is average, and
- * one that fails part of its work counts as loaded.
+ * Returns the load of a target with one more request. A target whose capacity
+ * is not known yet counts as an average one. Failures count as additional load.
  */
 static double
 member_load (const struct jl_member *member, double slot_rate)
@@ -186,38 +200,39 @@
                                          : slot_rate * MAX (member->limit, 1);
 
   return (member->outstanding + 1) / capacity
-         * (1 + FAILING_LOAD * member->failing);
+         * (1 + FAILURE_LOAD_FACTOR * member->failure_rate);
 }
 
 struct jl_member *
-jl_place_pick (const struct jl_roster *roster,
-               const char *service,
-               const char *zone,
-               struct jl_member *const *tried,
-               unsigned tried_count,
-               uint64_t now_us)
+jl_place_choose_daemon (const struct jl_roster *roster,
+                        const char *service,
+                        const char *zone,
+                        struct jl_member *const *tried,
+                        unsigned tried_count,
+                        uint64_t now_us)
 {
   struct jl_member *best = NULL;
-  bool best_near = false;
+  bool best_preferred = false;
   double slot_rate = mean_slot_rate (roster, service);
 
   for (guint i = 0; i < roster->members->len; i++)
     {
       struct jl_member *member = g_ptr_array_index (roster->members, i);
-      bool near;
+      bool preferred;
 
-      if (!jl_member_takes_work (member, service, now_us)
+      if (!jl_member_accepts_work (member, service, now_us)
           || was_tried (member, tried, tried_count))
         continue;
-      near = strcmp (member->zone, zone) == 0 && member->failing < FAILING_MUCH;
+      preferred = strcmp (member->zone, zone) == 0
+                  && member->failure_rate < FAILURE_RATE_MAX;
       if (best != NULL
-          && (best_near > near
-              || (best_near == near
+          && (best_preferred > preferred
+              || (best_preferred == preferred
                   && member_load (best, slot_rate)
                          <= member_load (member, slot_rate))))
         continue;
       best = member;
-      best_near = near;
+      best_preferred = preferred;
     }
   return best;
 }
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -1,5 +1,6 @@
 /**
- * DOC: What becomes of requests and calls until the next window.
+ * DOC: Plans which share of the requests and calls is admitted, and in which
+ * zone.
  */
 
 #include "proxy/plan.h"
@@ -7,31 +8,41 @@
 #include <math.h>
 #include <string.h>
 
-/* Runs for a request from which on it cannot do without a service. */
-#define RUNS_CERTAIN 0.7
-/* Crossings that are as bad as a request that fails. */
-#define FAILING_WEIGHT 10.0
-/* Failing share that is no reason to cross. */
-#define FAILING_LITTLE 0.04
-/* Room at which another zone takes all that is offered to it. */
-#define ROOM_FULL 0.25
-/* Difference of what two zones let in from which on they even out. */
-#define UNEVEN 0.1
-/* Calls that overflow for each request that entries refuse: a call that crosses
- * costs less than a refusal. */
+/* Runs at a service for each request from which on the request is refused if
+ * the service has no target. */
+#define RUNS_REQUIRED_MIN 0.7
+/* Cost of a failed request, in messages that cross zones. */
+#define FAILURE_COST 10.0
+/* Failure rate up to which requests aren't moved to another zone. */
+#define FAILURE_RATE_IGNORED 0.04
+/* Spare share of the capacity from which on another zone accepts all requests
+ * offered to it. */
+#define SPARE_SHARE_FULL 0.25
+/* Smallest difference of the shares admitted, or refused, in two zones at which
+ * requests move between two overloaded zones. */
+#define DIFFERENCE_MIN 0.1
+/* Share of the calls sent to another zone for each unit of the refused share.
+ * It is above 1 since a call that crosses zones costs less than a refusal. */
 #define OVERFLOW_GAIN 2.0
 
-/* What some targets of a service say. */
+/**
+ * struct supply - announced state of some targets of a service
+ * @capacity: sum of their capacities; the limit where that is not known
+ * @shed: mean share of the demand to refuse, weighted by capacity
+ * @spare_share: mean spare share, weighted by capacity
+ * @failure_rate: mean failure rate, weighted by capacity
+ * @targets: number of targets that accept work
+ */
 struct supply
 {
   double capacity;
   double shed;
-  double room;
-  double failing;
+  double spare_share;
+  double failure_rate;
   unsigned targets;
 };
 
-/* Of the targets in @zone, or else of all that are not there. */
+/* Sums up the targets in @zone if @inside, else those of all other zones. */
 static struct supply
 supply_of (const struct jl_roster *roster,
            const char *service,
@@ -47,21 +58,21 @@
       double weight = MAX (member->limit, 1);
 
       if ((strcmp (member->zone, zone) == 0) != inside
-          || !jl_member_takes_work (member, service, now_us))
+          || !jl_member_accepts_work (member, service, now_us))
         continue;
       if (member->capacity > 0)
         weight = member->capacity;
       supply.targets++;
       supply.capacity += weight;
       supply.shed += weight * member->shed;
-      supply.room += weight * member->room;
-      supply.failing += weight * member->failing;
+      supply.spare_share += weight * member->spare_share;
+      supply.failure_rate += weight * member->failure_rate;
     }
   if (supply.targets == 0)
     return supply;
   supply.shed /= supply.capacity;
-  supply.room /= supply.capacity;
-  supply.failing /= supply.capacity;
+  supply.spare_share /= supply.capacity;
+  supply.failure_rate /= supply.capacity;
   return supply;
 }
 
@@ -74,14 +85,15 @@
   return supply_of (roster, service, zone, true, now_us);
 }
 
-/* Whether @a is refused after @b. */
+/* Whether requests of @a are admitted before those of @b: the more important
+ * ones first, then those with fewer runs at @service. */
 static bool
-goes_before (const struct jl_demand *a,
-             const struct jl_demand *b,
-             const char *service)
+has_precedence (const struct jl_demand *a,
+                const struct jl_demand *b,
+                const char *service)
 {
-  double a_runs = jl_needs_runs (&a->needs, service);
-  double b_runs = jl_needs_runs (&b->needs, service);
+  double a_runs = jl_call_tree_runs (&a->tree, service);
+  double b_runs = jl_call_tree_runs (&b->tree, service);
 
   if (a->rank != b->rank)
     return a->rank < b->rank;
@@ -91,104 +103,111 @@
 }
 
 /*
- * Share of @demand that is let in when @service refuses the share @shed of
- * all: what is more important is let in first.
+ * Returns the share of @demand that is admitted when @service refuses the share
+ * @shed of its whole demand. More important requests are admitted first.
  */
 static double
-share_kept (const struct jl_demand *demands,
-            unsigned demand_count,
-            const struct jl_demand *demand,
-            const char *service,
-            double shed)
+admitted_share (const struct jl_demand *demands,
+                unsigned demand_count,
+                const struct jl_demand *demand,
+                const char *service,
+                double shed)
 {
-  double own = demand->rate * jl_needs_runs (&demand->needs, service);
-  double before = 0;
+  double own = demand->rate * jl_call_tree_runs (&demand->tree, service);
+  double preceding = 0;
   double total = 0;
 
   for (unsigned i = 0; i < demand_count; i++)
     {
       double load
-          = demands[i].rate * jl_needs_runs (&demands[i].needs, service);
+          = demands[i].rate * jl_call_tree_runs (&demands[i].tree, service);
 
       total += load;
-      if (&demands[i] != demand && goes_before (&demands[i], demand, service))
-        before += load;
+      if (&demands[i] != demand
+          && has_precedence (&demands[i], demand, service))
+        preceding += load;
     }
   if (own <= 0)
     return 1 - shed;
-  return CLAMP (((1 - shed) * total - before) / own, 0, 1);
+  return CLAMP (((1 - shed) * total - preceding) / own, 0, 1);
 }
 
 /**
- * struct spot - where the runs of a need are, if the request is placed in a
- * zone
- * @inside: in that zone; else in others, which its calls went to
- * @crosses: the calls go from the zone to others here
+ * struct location - where the runs of a call tree node take place, if the
+ * request is placed in a zone
+ * @inside: in that zone; otherwise in other zones
+ * @crosses: the calls that start these runs leave the zone
+ * @supply: targets of the node's service there
  */
-struct spot
+struct location
 {
   bool inside;
   bool crosses;
   struct supply supply;
 };
 
-/* Calls stay in their zone while it has a target; further ones stay out there.
- */
+/* Calls stay in their zone while it has a target of the service. Calls that are
+ * made outside the zone stay outside. */
 static void
-find_spots (const struct jl_roster *roster,
-            const struct jl_needs *needs,
-            const char *zone,
-            uint64_t now_us,
-            struct spot *spots)
+locate_runs (const struct jl_roster *roster,
+             const struct jl_call_tree *tree,
+             const char *zone,
+             uint64_t now_us,
+             struct location *locations)
 {
-  for (unsigned i = 0; i < needs->count; i++)
+  for (unsigned i = 0; i < tree->count; i++)
     {
-      const struct jl_need *need = &needs->list[i];
-      bool from_inside = need->parent == JL_NONE || spots[need->parent].inside;
-      struct spot *spot = &spots[i];
-
-      spot->supply
-          = supply_of (roster, need->service, zone, from_inside, now_us);
-      spot->inside = from_inside && spot->supply.targets > 0;
-      spot->crosses = from_inside && !spot->inside;
-      if (spot->crosses)
-        spot->supply = supply_of (roster, need->service, zone, false, now_us);
+      const struct jl_call_node *node = &tree->nodes[i];
+      bool from_inside
+          = node->parent == JL_NONE || locations[node->parent].inside;
+      struct location *location = &locations[i];
+
+      location->supply
+          = supply_of (roster, node->service, zone, from_inside, now_us);
+      location->inside = from_inside && location->supply.targets > 0;
+      location->crosses = from_inside && !location->inside;
+      if (location->crosses)
+        location->supply
+            = supply_of (roster, node->service, zone, false, now_us);
     }
 }
 
+/* Lowers the admitted share of @plan to what the services of the call tree
+ * admit with the request in the plan's zone. */
 static void
-judge_zone (struct jl_plan *plan,
-            const struct jl_roster *roster,
-            const struct jl_demand *demands,
-            unsigned demand_count,
-            const struct jl_demand *demand,
-            uint64_t now_us)
+limit_to_zone_capacity (struct jl_plan *plan,
+                        const struct jl_roster *roster,
+                        const struct jl_demand *demands,
+                        unsigned demand_count,
+                        const struct jl_demand *demand,
+                        uint64_t now_us)
 {
-  struct spot spots[JL_NEED_MAX];
+  struct location locations[JL_CALL_TREE_NODES_MAX];
 
-  find_spots (roster, &demand->needs, plan->zone, now_us, spots);
-  for (unsigned i = 0; i < demand->needs.count; i++)
+  locate_runs (roster, &demand->tree, plan->zone, now_us, locations);
+  for (unsigned i = 0; i < demand->tree.count; i++)
     {
-      const char *service = demand->needs.list[i].service;
-      const struct supply *supply = &spots[i].supply;
-      double keep = 1;
+      const char *service = demand->tree.nodes[i].service;
+      const struct supply *supply = &locations[i].supply;
+      double admit_share = 1;
 
-      if (supply->targets == 0 && demand->needs.list[i].runs >= RUNS_CERTAIN)
-        keep = 0;
+      if (supply->targets == 0
+          && demand->tree.nodes[i].runs >= RUNS_REQUIRED_MIN)
+        admit_share = 0;
       else if (supply->shed > 0)
-        keep
-            = share_kept (demands, demand_count, demand, service, supply->shed);
-      if (keep >= plan->keep)
+        admit_share = admitted_share (demands, demand_count, demand, service,
+                                      supply->shed);
+      if (admit_share >= plan->admit_share)
         continue;
-      plan->keep = keep;
-      plan->service = service;
+      plan->admit_share = admit_share;
+      plan->limiting_service = service;
       plan->shed = supply->shed;
     }
 }
 
 /*
- * What placing one request in @zone costs: messages that cross zones, and the
- * likelihood that one of its runs fails.
+ * Returns the cost of placing one request in @zone: the messages that cross
+ * zones, plus FAILURE_COST times the probability that one of its runs fails.
  */
 static double
 zone_cost (const struct jl_roster *roster,
@@ -196,42 +215,43 @@
            const char *zone,
            uint64_t now_us)
 {
-  struct spot spots[JL_NEED_MAX];
-  double count = strcmp (zone, roster->own_zone) != 0 ? 1 : 0;
+  struct location locations[JL_CALL_TREE_NODES_MAX];
+  double crossings = strcmp (zone, roster->own_zone) != 0 ? 1 : 0;
   double success = 1;
 
-  find_spots (roster, &demand->needs, zone, now_us, spots);
-  for (unsigned i = 0; i < demand->needs.count; i++)
+  locate_runs (roster, &demand->tree, zone, now_us, locations);
+  for (unsigned i = 0; i < demand->tree.count; i++)
     {
-      double runs = demand->needs.list[i].runs;
+      double runs = demand->tree.nodes[i].runs;
 
-      if (spots[i].crosses)
-        count += runs;
-      if (spots[i].supply.failing > FAILING_LITTLE)
-        success *= pow (1 - spots[i].supply.failing, runs);
+      if (locations[i].crosses)
+        crossings += runs;
+      if (locations[i].supply.failure_rate > FAILURE_RATE_IGNORED)
+        success *= pow (1 - locations[i].supply.failure_rate, runs);
     }
-  return count + FAILING_WEIGHT * (1 - success);
+  return crossings + FAILURE_COST * (1 - success);
 }
 
-/* Share of other zones' requests that @zone takes. */
+/* Returns the share of the requests offered by other zones that @zone accepts.
+ */
 static double
-zone_room (const struct jl_roster *roster,
-           const struct jl_demand *demand,
-           const char *zone,
-           uint64_t now_us)
+accepted_share (const struct jl_roster *roster,
+                const struct jl_demand *demand,
+                const char *zone,
+                uint64_t now_us)
 {
-  double room = 1;
+  double accepted = 1;
 
-  for (unsigned i = 0; i < demand->needs.count; i++)
+  for (unsigned i = 0; i < demand->tree.count; i++)
     {
       struct supply supply
-          = zone_supply (roster, demand->needs.list[i].service, zone, now_us);
+          = zone_supply (roster, demand->tree.nodes[i].service, zone, now_us);
 
       if (supply.targets == 0 || supply.shed > 0)
         return 0;
-      room = MIN (room, supply.room / ROOM_FULL);
+      accepted = MIN (accepted, supply.spare_share / SPARE_SHARE_FULL);
     }
-  return room;
+  return accepted;
 }
 
 static bool
@@ -250,11 +270,11 @@
 }
 
 /*
- * The next zone that members from *@index on name, other than @but; NULL at the
- * end. @but may be NULL.
+ * Returns the next zone of the members from *@index on, or NULL at the end. The
+ * zone @except is left out; it may be NULL.
  */
 static const char *
-next_zone (const struct jl_roster *roster, const char *but, guint *index)
+next_zone (const struct jl_roster *roster, const char *except, guint *index)
 {
   while (*index < roster->members->len)
     {
@@ -263,90 +283,96 @@
       bool first = is_first_of_zone (roster, *index);
 
       (*index)++;
-      if (first && (but == NULL || strcmp (member->zone, but) != 0))
+      if (first && (except == NULL || strcmp (member->zone, except) != 0))
         return member->zone;
     }
   return NULL;
 }
 
-/* The zone in which a request costs least; the own one if it is as good. */
+/* Returns the zone in which a request costs least. The own zone is preferred at
+ * equal cost. */
 static const char *
-home_zone (const struct jl_roster *roster,
-           const struct jl_demand *demand,
-           uint64_t now_us)
+cheapest_zone (const struct jl_roster *roster,
+               const struct jl_demand *demand,
+               uint64_t now_us)
 {
   const char *best = roster->own_zone;
   double best_cost = zone_cost (roster, demand, best, now_us);
-  double best_room = 0;
+  double best_accepted = 0;
   const char *zone;
   guint index = 0;
 
   while (best_cost > 0 && (zone = next_zone (roster, NULL, &index)) != NULL)
     {
       double cost = zone_cost (roster, demand, zone, now_us);
-      double room;
+      double accepted;
 
       if (cost > best_cost)
         continue;
-      room = zone_room (roster, demand, zone, now_us);
-      if (cost == best_cost && room <= best_room)
+      accepted = accepted_share (roster, demand, zone, now_us);
+      if (cost == best_cost && accepted <= best_accepted)
         continue;
       best = zone;
       best_cost = cost;
-      best_room = room;
+      best_accepted = accepted;
     }
   return best;
 }
 
+/* Returns the zone, other than @home, that accepts the largest share of the
+ * requests, NULL if none accepts any. Sets *@accepted to that share. */
 static const char *
-roomiest_zone (const struct jl_roster *roster,
-               const struct jl_demand *demand,
-               const char *home,
-               uint64_t now_us,
-               double *room)
+zone_with_most_spare_capacity (const struct jl_roster *roster,
+                               const struct jl_demand *demand,
+                               const char *home,
+                               uint64_t now_us,
+                               double *accepted)
 {
   const char *best = NULL;
   const char *zone;
   guint index = 0;
 
-  *room = 0;
+  *accepted = 0;
   while ((zone = next_zone (roster, home, &index)) != NULL)
     {
-      double other = zone_room (roster, demand, zone, now_us);
+      double other_accepted = accepted_share (roster, demand, zone, now_us);
 
-      if (other <= *room)
+      if (other_accepted <= *accepted)
         continue;
-      *room = other;
+      *accepted = other_accepted;
       best = zone;
     }
   return best;
 }
 
-/* The zone, other than @home, that lets in most, and what it lets in. */
+/* Returns the plan with the largest admitted share among the zones other than
+ * @home. */
 static struct jl_plan
-mildest_zone (const struct jl_roster *roster,
-              const struct jl_demand *demands,
-              unsigned demand_count,
-              const struct jl_demand *demand,
-              const char *home,
-              uint64_t now_us)
+most_admitting_plan (const struct jl_roster *roster,
+                     const struct jl_demand *demands,
+                     unsigned demand_count,
+                     const struct jl_demand *demand,
+                     const char *home,
+                     uint64_t now_us)
 {
-  struct jl_plan best = { .keep = 0 };
+  struct jl_plan best = { .admit_share = 0 };
   const char *zone;
   guint index = 0;
 
   while ((zone = next_zone (roster, home, &index)) != NULL)
     {
-      struct jl_plan plan = { .zone = zone, .keep = 1 };
+      struct jl_plan plan = { .zone = zone, .admit_share = 1 };
 
-      judge_zone (&plan, roster, demands, demand_count, demand, now_us);
-      if (plan.keep > best.keep)
+      limit_to_zone_capacity (&plan, roster, demands, demand_count, demand,
+                              now_us);
+      if (plan.admit_share > best.admit_share)
         best = plan;
     }
   return best;
 }
 
-/* What the own zone has no room for: another one has, or refuses less. */
+/* Plans where the requests go that are not admitted in the plan's zone: to a
+ * zone with spare capacity, or to one that refuses less. */
 static void
 plan_overflow (struct jl_plan *plan,
                const struct jl_roster *roster,
@@ -355,63 +381,64 @@
                const struct jl_demand *demand,
                uint64_t now_us)
 {
-  struct jl_plan mildest = mildest_zone (roster, demands, demand_count, demand,
-                                         plan->zone, now_us);
-  double difference = mildest.keep - plan->keep;
+  struct jl_plan most_admitting = most_admitting_plan (
+      roster, demands, demand_count, demand, plan->zone, now_us);
+  double difference = most_admitting.admit_share - plan->admit_share;
 
-  plan->other_zone
-      = roomiest_zone (roster, demand, plan->zone, now_us, &plan->room);
-  if (difference < UNEVEN || difference < plan->room)
+  plan->other_zone = zone_with_most_spare_capacity (
+      roster, demand, plan->zone, now_us, &plan->other_zone_share);
+  if (difference < DIFFERENCE_MIN || difference < plan->other_zone_share)
     return;
-  plan->other_zone = mildest.zone;
-  plan->room = difference;
+  plan->other_zone = most_admitting.zone;
+  plan->other_zone_share = difference;
 }
 
 struct jl_plan
-jl_plan_of (const struct jl_roster *roster,
-            const struct jl_demand *demands,
-            unsigned demand_count,
-            const struct jl_demand *demand,
-            uint64_t now_us)
+jl_plan_compute (const struct jl_roster *roster,
+                 const struct jl_demand *demands,
+                 unsigned demand_count,
+                 const struct jl_demand *demand,
+                 uint64_t now_us)
 {
-  struct jl_plan plan = { .keep = 1, .service = "" };
+  struct jl_plan plan = { .admit_share = 1, .limiting_service = "" };
 
-  plan.zone = home_zone (roster, demand, now_us);
-  judge_zone (&plan, roster, demands, demand_count, demand, now_us);
-  if (plan.keep < 1)
+  plan.zone = cheapest_zone (roster, demand, now_us);
+  limit_to_zone_capacity (&plan, roster, demands, demand_count, demand, now_us);
+  if (plan.admit_share < 1)
     plan_overflow (&plan, roster, demands, demand_count, demand, now_us);
   return plan;
 }
 
 const char *
-jl_plan_zone (const struct jl_plan *plan, double draw)
+jl_plan_choose_zone (const struct jl_plan *plan, double draw)
 {
-  if (draw < plan->keep)
+  if (draw < plan->admit_share)
     return plan->zone;
   if (plan->other_zone == NULL)
     return NULL;
-  /* Uniform between the share that was kept and 1. */
-  draw = (draw - plan->keep) / (1 - plan->keep);
-  return draw < plan->room ? plan->other_zone : NULL;
+  /* Scales the rest of the range, from the admitted share to 1, to 0 to 1. */
+  draw = (draw - plan->admit_share) / (1 - plan->admit_share);
+  return draw < plan->other_zone_share ? plan->other_zone : NULL;
 }
 
-/* Share of the own zone's calls that should go to a zone of this supply. */
+/* Returns the share of the own zone's calls that should go to a zone with the
+ * supply @other. */
 static double
 overflow_share (const struct supply *own, const struct supply *other)
 {
-  double room = MIN (1, other->room / ROOM_FULL);
+  double accepted = MIN (1, other->spare_share / SPARE_SHARE_FULL);
 
   if (other->targets == 0)
     return 0;
   if (other->shed <= 0)
-    return MIN (1, OVERFLOW_GAIN * own->shed) * room;
-  return own->shed - other->shed < UNEVEN ? 0 : own->shed - other->shed;
+    return MIN (1, OVERFLOW_GAIN * own->shed) * accepted;
+  return own->shed - other->shed < DIFFERENCE_MIN ? 0 : own->shed - other->shed;
 }
 
 struct jl_overflow
-jl_overflow_of (const struct jl_roster *roster,
-                const char *service,
-                uint64_t now_us)
+jl_overflow_compute (const struct jl_roster *roster,
+                     const char *service,
+                     uint64_t now_us)
 {
   struct jl_overflow overflow = { .service = g_intern_string (service) };
   struct supply own = zone_supply (roster, service, roster->own_zone, now_us);
@@ -433,9 +460,9 @@
 }
 
 const char *
-jl_overflow_zone (const struct jl_overflow *overflow,
-                  const struct jl_roster *roster,
-                  double draw)
+jl_overflow_choose_zone (const struct jl_overflow *overflow,
+                         const struct jl_roster *roster,
+                         double draw)
 {
   if (overflow->zone != NULL && draw < overflow->share)
     return overflow->zone;
--- a/source/proxy/plan.h
+++ b/source/proxy/plan.h
@@ -2,83 +2,87 @@
 #define JACKDAWLADDER_PROXY_PLAN_H
 
 /**
- * DOC: What becomes of requests and calls until the next window: how many are
- * let in, and in which zone.
+ * DOC: Plans for each control window which share of the requests and calls is
+ * admitted, and in which zone.
  *
- * Answers overload deep in the call graph. A client's request is judged as a
- * whole, before anything ran: the services that its calls will reach are known
- * from learned fan-outs, and each says what share of its demand is too much.
- * That share is taken from what is least important and, among equals, from
- * what costs the service most. When the own zone has no room and another one
- * has, or refuses less, the whole request goes there, so that only its first
- * message crosses zones. Calls of a request that has begun are never refused
- * here. They stay in their zone while it has a target with room for them.
+ * The plans handle overload deep in the call graph. A client's request is
+ * admitted or refused as a whole, before any part of it runs: the call tree
+ * gives the services that its calls will reach, and each service announces the
+ * share of its demand that has to be refused. That share is taken from the
+ * least important requests first and, among equally important ones, from those
+ * that cause the most runs at the service. When the own zone has no capacity
+ * left and another zone has some, or refuses less, the whole request goes
+ * there, so that only its first message crosses zones. Calls of a request that
+ * has begun are never refused here. They stay in their zone while its targets
+ * have capacity for them.
  */
 
 #include "proxy/place.h"
 
 /**
- * struct jl_plan - what becomes of a route's requests until the next window
- * @zone: where they go
- * @keep: share that is let in there
- * @service: the service that has no room for the others, "" for none
- * @shed: the share of its demand that it refuses
- * @other_zone: zone that has room or refuses less, NULL for none
- * @room: share of the others that goes to @other_zone
+ * struct jl_plan - the plan for a route's requests until the next window
+ * @zone: zone of the admitted requests
+ * @admit_share: share of the requests that is admitted there
+ * @limiting_service: service whose overload limits @admit_share, "" for none
+ * @shed: share of its demand that @limiting_service has to refuse
+ * @other_zone: zone that has capacity left or refuses less, NULL for none
+ * @other_zone_share: share of the requests not admitted in @zone that goes to
+ *                    @other_zone
  */
 struct jl_plan
 {
   const char *zone;
-  double keep;
-  const char *service;
+  double admit_share;
+  const char *limiting_service;
   double shed;
   const char *other_zone;
-  double room;
+  double other_zone_share;
 };
 
 /**
- * struct jl_demand - what this daemon's clients ask for by one route
+ * struct jl_demand - requests of this daemon's clients by one route
  * @route: the route's key
- * @rank: its importance
- * @counted: requests in this window
- * @rate: requests a second, smoothed
- * @needs: runs that one request leads to
- * @plan: what becomes of its requests
+ * @rank: its priority, 0 is the most important
+ * @window_requests: requests in this window
+ * @rate: requests a second, exponential moving average
+ * @tree: runs that one request causes
+ * @plan: the plan for its requests
  */
 struct jl_demand
 {
   uint32_t route;
   unsigned rank;
-  unsigned counted;
+  unsigned window_requests;
   double rate;
-  struct jl_needs needs;
+  struct jl_call_tree tree;
   struct jl_plan plan;
 };
 
 /**
- * jl_plan_of - what becomes of the requests of @demand
+ * jl_plan_compute - computes the plan for the requests of @demand
  * @demands: of all routes that this daemon's clients use, @demand among them
  */
-struct jl_plan jl_plan_of (const struct jl_roster *roster,
-                           const struct jl_demand *demands,
-                           unsigned demand_count,
-                           const struct jl_demand *demand,
-                           uint64_t now_us);
+struct jl_plan jl_plan_compute (const struct jl_roster *roster,
+                                const struct jl_demand *demands,
+                                unsigned demand_count,
+                                const struct jl_demand *demand,
+                                uint64_t now_us);
 
 /**
- * jl_plan_zone - where one request goes
- * @draw: uniform, 0 to 1
+ * jl_plan_choose_zone - chooses the zone of one request
+ * @draw: random number, uniform from 0 to 1
  *
  * Return: a zone, or NULL when the request is refused.
  */
-const char *jl_plan_zone (const struct jl_plan *plan, double draw);
+const char *jl_plan_choose_zone (const struct jl_plan *plan, double draw);
 
 /**
- * struct jl_overflow - where the own target's calls to one service go until the
- * next window
+ * struct jl_overflow - the plan for the own target's calls to one service until
+ * the next window
  * @service: interned
- * @zone: another zone, which has room, NULL for none
- * @share: share of the calls that goes there, 0 to 1
+ * @zone: another zone with capacity for these calls, NULL for none
+ * @share: share of the calls that goes there, 0 to 1; the others stay in the
+ *         own zone
  */
 struct jl_overflow
 {
@@ -88,22 +92,23 @@
 };
 
 /**
- * jl_overflow_of - what becomes of calls to @service
+ * jl_overflow_compute - computes the plan for calls to @service
  *
- * Answers a zone whose targets of @service get the calls of other zones too,
- * as when the service above is left in this one only: its own targets then
- * refuse while those of other zones are idle or refuse less.
+ * It is needed where one zone's targets of @service receive the calls of other
+ * zones too, for example when the calling service has targets left in this zone
+ * only. The zone's own targets of @service would refuse calls then, while those
+ * of other zones are idle or refuse less.
  */
-struct jl_overflow jl_overflow_of (const struct jl_roster *roster,
-                                   const char *service,
-                                   uint64_t now_us);
+struct jl_overflow jl_overflow_compute (const struct jl_roster *roster,
+                                        const char *service,
+                                        uint64_t now_us);
 
 /**
- * jl_overflow_zone - the zone of one call
- * @draw: uniform, 0 to 1
+ * jl_overflow_choose_zone - chooses the zone of one call
+ * @draw: random number, uniform from 0 to 1
  */
-const char *jl_overflow_zone (const struct jl_overflow *overflow,
-                              const struct jl_roster *roster,
-                              double draw);
+const char *jl_overflow_choose_zone (const struct jl_overflow *overflow,
+                                     const struct jl_roster *roster,
+                                     double draw);
 
 #endif
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -65,7 +65,7 @@
   uint64_t now_us = jl_now ();
 
   return proxy->site != NULL && !proxy->stopping
-         && (jl_roster_heard (&proxy->roster, now_us) > 1
+         && (jl_roster_alive_count (&proxy->roster, now_us) > 1
              || now_us > proxy->started_us + ALONE_US);
 }
 
@@ -96,11 +96,12 @@
   if (proxy->guard_closed && self->state == JL_TARGET_UP)
     self->state = JL_TARGET_LEAVING;
   self->limit = proxy->lane.limit;
-  self->capacity = jl_pressure_capacity (&proxy->pressure, proxy->lane.limit);
+  self->capacity
+      = jl_load_shedder_capacity (&proxy->pressure, proxy->lane.limit);
   self->shed = proxy->pressure.shed;
-  self->room = proxy->pressure.room;
-  self->failing = jl_failing_share (&proxy->failing);
-  self->heard_us = jl_now ();
+  self->spare_share = proxy->pressure.spare_share;
+  self->failure_rate = jl_failure_rate_get (&proxy->failing);
+  self->last_beacon_us = jl_now ();
 }
 
 void
@@ -113,7 +114,7 @@
              " born=%" PRIu64 " running=%u",
              jl_target_state_name (target->state), cause, target->last.id,
              target->last.service, target->last.slots, target->last.sequence,
-             target->last.born_ms, proxy->lane.running);
+             target->last.started_ms, proxy->lane.running);
   proxy->lane.limit = lane_limit (target->last.slots);
   if (target->state != JL_TARGET_UP)
     {
@@ -145,20 +146,20 @@
     }
   if (proxy->site != NULL && site->version <= proxy->site->version)
     {
-      jl_site_drop (site);
+      jl_site_unref (site);
       return;
     }
   jl_record (JL_RECORD_CHANGE, JL_RECORD_SITE,
              "version=%" PRIx64 " before=%" PRIx64 " source=%s routes=%u",
              site->version, proxy->site != NULL ? proxy->site->version : 0,
              source, site->routes->len);
-  jl_site_drop (proxy->site);
+  jl_site_unref (proxy->site);
   proxy->site = site;
   g_free (proxy->site_text);
   proxy->site_text = g_memdup2 (text, size);
   proxy->site_size = size;
   jl_beacon_soon (proxy->beacon);
-  jl_net_limits (proxy->net, site->head_bytes, site->head_timeout_us,
+  jl_net_limits (proxy->net, site->head_bytes_max, site->head_timeout_us,
                  site->idle_timeout_us);
 }
 
@@ -176,7 +177,7 @@
 static void
 note_shed (struct jl_proxy *proxy, double before)
 {
-  const struct jl_pressure *pressure = &proxy->pressure;
+  const struct jl_load_shedder *pressure = &proxy->pressure;
 
   if ((before > 0) == (pressure->shed > 0) && proxy->ticks % 10 != 0)
     return;
@@ -186,7 +187,7 @@
              "shed=%.3f before=%.3f rate=%.0f capacity=%.0f running=%u "
              "waiting=%u limit=%u hold_ms=%.1f",
              pressure->shed, before, pressure->rate,
-             jl_pressure_capacity (pressure, proxy->lane.limit),
+             jl_load_shedder_capacity (pressure, proxy->lane.limit),
              proxy->lane.running, proxy->lane.waiting, proxy->lane.limit,
              pressure->hold_us / 1000);
 }
@@ -198,20 +199,21 @@
   double before = proxy->pressure.shed;
 
   proxy->ticks++;
-  jl_failing_fade (&proxy->failing);
-  jl_pressure_window (&proxy->pressure, proxy->lane.limit, proxy->lane.waiting);
+  jl_failure_rate_decay (&proxy->failing);
+  jl_load_shedder_end_window (&proxy->pressure, proxy->lane.limit,
+                              proxy->lane.waiting);
   if (proxy->ticks % FANOUT_WINDOWS == 0)
     {
-      jl_fanout_window (&proxy->fanout);
+      jl_fanout_end_window (&proxy->fanout);
       proxy->self->fanout_count = jl_fanout_list (
           &proxy->fanout, proxy->self->fanout, JL_MEMBER_FANOUT_MAX);
     }
   note_shed (proxy, before);
   jl_rows_window (proxy);
   update_self (proxy);
-  jl_demand_window (proxy);
+  jl_demand_end_window (proxy);
   jl_entry_check_members (proxy);
-  jl_loop_after (proxy->loop, timer, JL_PRESSURE_WINDOW_US, on_control_timer,
+  jl_loop_after (proxy->loop, timer, JL_CONTROL_WINDOW_US, on_control_timer,
                  proxy);
 }
 
@@ -387,7 +389,7 @@
 {
   jl_loop_after (proxy->loop, &proxy->lane_timer, LANE_PERIOD_US, on_lane_timer,
                  proxy);
-  jl_loop_after (proxy->loop, &proxy->control_timer, JL_PRESSURE_WINDOW_US,
+  jl_loop_after (proxy->loop, &proxy->control_timer, JL_CONTROL_WINDOW_US,
                  on_control_timer, proxy);
   jl_loop_after (proxy->loop, &proxy->sweep_timer, SWEEP_PERIOD_US,
                  on_sweep_timer, proxy);
@@ -403,7 +405,7 @@
   CDS_INIT_LIST_HEAD (&proxy->calls);
   CDS_INIT_LIST_HEAD (&proxy->works);
   jl_lane_init (&proxy->lane);
-  jl_pressure_init (&proxy->pressure);
+  jl_load_shedder_init (&proxy->pressure);
   jl_fanout_init (&proxy->fanout);
   jl_roster_init (&proxy->roster, options->zone);
   proxy->self = jl_roster_member (&proxy->roster, options->name);
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -13,9 +13,9 @@
 #include "jackdawladder/request.h"
 #include "jackdawladder/upstream.h"
 #include "policy/budget.h"
-#include "policy/failing.h"
+#include "policy/failure-rate.h"
 #include "policy/lane.h"
-#include "policy/pressure.h"
+#include "policy/load-shedder.h"
 #include "proxy/options.h"
 #include "proxy/plan.h"
 
@@ -70,7 +70,7 @@
 struct jl_service_budget
 {
   char service[JL_TEXT_SIZE];
-  struct jl_budget budget;
+  struct jl_retry_budget budget;
 };
 
 struct jl_beacon;
@@ -111,14 +111,14 @@
   struct jl_member *self;
   struct jl_target target;
   struct jl_lane lane;
-  struct jl_pressure pressure;
-  struct jl_failing failing;
+  struct jl_load_shedder pressure;
+  struct jl_failure_rate failing;
   struct jl_fanout fanout;
   unsigned demand_count;
   struct jl_demand demands[JL_DEMAND_MAX];
   uint64_t planned_us;
   unsigned call_route_count;
-  uint32_t call_routes[JL_ARRIVALS_MAX];
+  uint32_t call_routes[JL_ARRIVAL_ROUTES_MAX];
   unsigned overflow_count;
   struct jl_overflow overflows[JL_OVERFLOW_MAX];
   unsigned budget_count;
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The daemons of the site, as far as this one knows them.
+ * DOC: The daemons of the site that this daemon knows.
  */
 
 #include "proxy/roster.h"
@@ -7,16 +7,18 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Silence after which nothing is sent to a daemon: several beacons. */
-#define SILENCE_US (2500 * JL_USEC_PER_MSEC)
-#define FAR_SILENCE_US (5000 * JL_USEC_PER_MSEC)
-/* Silence of a life after which another one with a lower epoch counts. */
-#define QUIET_US (1500 * JL_USEC_PER_MSEC)
-#define FAR_QUIET_US (3000 * JL_USEC_PER_MSEC)
-/* How long a daemon is left out after a sending to it failed. */
+/* Time since the last beacon for which a daemon counts as alive: several beacon
+ * intervals. Beacons between zones are less frequent. */
+#define ALIVE_US (2500 * JL_USEC_PER_MSEC)
+#define OTHER_ZONE_ALIVE_US (5000 * JL_USEC_PER_MSEC)
+/* Time since the last beacon of an incarnation after which one with a lower
+ * epoch may replace it. */
+#define REPLACE_AFTER_US (1500 * JL_USEC_PER_MSEC)
+#define OTHER_ZONE_REPLACE_AFTER_US (3000 * JL_USEC_PER_MSEC)
+/* Time for which a daemon receives no requests after one to it failed. */
 #define AVOID_US (800 * JL_USEC_PER_MSEC)
-/* Targets of a service in another zone that a daemon knows on average. */
-#define FAR_KNOWN 6
+/* Targets of a service in each other zone that a daemon knows on average. */
+#define KNOWN_IN_OTHER_ZONE 6
 
 void
 jl_roster_init (struct jl_roster *roster, const char *own_zone)
@@ -42,41 +44,44 @@
     return member;
   member = g_new0 (struct jl_member, 1);
   g_strlcpy (member->name, name, sizeof member->name);
-  member->room = 1;
+  member->spare_share = 1;
   g_ptr_array_add (roster->members, member);
   g_hash_table_insert (roster->by_name, member->name, member);
   return member;
 }
 
 bool
-jl_member_is_heard (const struct jl_member *member, uint64_t now_us)
+jl_member_is_alive (const struct jl_member *member, uint64_t now_us)
 {
-  uint64_t silence_us = member->far ? FAR_SILENCE_US : SILENCE_US;
+  uint64_t alive_us = member->in_other_zone ? OTHER_ZONE_ALIVE_US : ALIVE_US;
 
-  return member->heard_us != 0 && now_us < member->heard_us + silence_us;
+  return member->last_beacon_us != 0
+         && now_us < member->last_beacon_us + alive_us;
 }
 
 bool
-jl_member_is_newer (const struct jl_member *member,
-                    uint64_t epoch,
-                    uint64_t sequence,
-                    uint64_t now_us)
+jl_member_is_newer_beacon (const struct jl_member *member,
+                           uint64_t epoch,
+                           uint64_t sequence,
+                           uint64_t now_us)
 {
-  uint64_t quiet_us = member->far ? FAR_QUIET_US : QUIET_US;
+  uint64_t replace_after_us
+      = member->in_other_zone ? OTHER_ZONE_REPLACE_AFTER_US : REPLACE_AFTER_US;
 
   if (epoch == member->epoch)
     return sequence > member->sequence;
-  return epoch > member->epoch || now_us > member->heard_us + quiet_us;
+  return epoch > member->epoch
+         || now_us > member->last_beacon_us + replace_after_us;
 }
 
 bool
-jl_member_takes_work (const struct jl_member *member,
-                      const char *service,
-                      uint64_t now_us)
+jl_member_accepts_work (const struct jl_member *member,
+                        const char *service,
+                        uint64_t now_us)
 {
   return member->state == JL_TARGET_UP && now_us >= member->avoid_until_us
          && strcmp (member->service, service) == 0
-         && jl_member_is_heard (member, now_us);
+         && jl_member_is_alive (member, now_us);
 }
 
 void
@@ -85,7 +90,7 @@
   member->avoid_until_us = now_us + AVOID_US;
 }
 
-/* Arrivals at all daemons beside targets of @service. */
+/* Sums up the arrivals at all daemons beside targets of @service. */
 static struct jl_arrivals
 service_arrivals (const struct jl_roster *roster,
                   const char *service,
@@ -98,7 +103,7 @@
       const struct jl_member *member = g_ptr_array_index (roster->members, i);
 
       if (strcmp (member->service, service) != 0
-          || !jl_member_is_heard (member, now_us))
+          || !jl_member_is_alive (member, now_us))
         continue;
       for (unsigned j = 0; j < member->arrivals.count; j++)
         jl_arrivals_add (&sum, member->arrivals.list[j].route,
@@ -123,9 +128,9 @@
 }
 
 bool
-jl_roster_is_call (const struct jl_roster *roster,
-                   uint32_t route,
-                   uint64_t now_us)
+jl_roster_is_call_route (const struct jl_roster *roster,
+                         uint32_t route,
+                         uint64_t now_us)
 {
   for (guint i = 0; i < roster->members->len; i++)
     {
@@ -135,28 +140,29 @@
       if (!is_first_of_service (roster, i))
         continue;
       arrivals = service_arrivals (roster, member->service, now_us);
-      if (jl_arrivals_lack (&arrivals, route))
+      if (jl_arrivals_is_route_absent (&arrivals, route))
         return true;
     }
   return false;
 }
 
 unsigned
-jl_roster_heard (const struct jl_roster *roster, uint64_t now_us)
+jl_roster_alive_count (const struct jl_roster *roster, uint64_t now_us)
 {
   unsigned heard = 0;
 
   for (guint i = 0; i < roster->members->len; i++)
-    if (jl_member_is_heard (g_ptr_array_index (roster->members, i), now_us))
+    if (jl_member_is_alive (g_ptr_array_index (roster->members, i), now_us))
       heard++;
   return heard;
 }
 
-/* Daemons in the zone of @self whose targets are of its service. */
+/* Counts the daemons in the zone of @self with targets of the same service,
+ * itself included. */
 static unsigned
-near_of_service (const struct jl_roster *roster,
-                 const struct jl_member *self,
-                 uint64_t now_us)
+count_own_zone_peers (const struct jl_roster *roster,
+                      const struct jl_member *self,
+                      uint64_t now_us)
 {
   unsigned count = 0;
 
@@ -166,26 +172,26 @@
 
       if (strcmp (member->zone, self->zone) == 0
           && strcmp (member->service, self->service) == 0
-          && jl_member_is_heard (member, now_us))
+          && jl_member_is_alive (member, now_us))
         count++;
     }
   return count;
 }
 
 double
-jl_roster_told_share (const struct jl_roster *roster,
-                      const struct jl_member *self,
-                      uint64_t now_us)
+jl_roster_announce_share (const struct jl_roster *roster,
+                          const struct jl_member *self,
+                          uint64_t now_us)
 {
-  unsigned count = near_of_service (roster, self, now_us);
+  unsigned count = count_own_zone_peers (roster, self, now_us);
 
-  return count <= FAR_KNOWN ? 1 : (double)FAR_KNOWN / count;
+  return count <= KNOWN_IN_OTHER_ZONE ? 1 : (double)KNOWN_IN_OTHER_ZONE / count;
 }
 
 bool
-jl_member_tells (const struct jl_member *self,
-                 const struct jl_member *peer,
-                 double share)
+jl_member_announces_to (const struct jl_member *self,
+                        const struct jl_member *peer,
+                        double share)
 {
   uint32_t draw
       = XXH32 (peer->name, strlen (peer->name), jl_name_key (self->name));
--- a/source/proxy/roster.h
+++ b/source/proxy/roster.h
@@ -2,42 +2,44 @@
 #define JACKDAWLADDER_PROXY_ROSTER_H
 
 /**
- * DOC: The daemons of the site, as far as this one knows them.
+ * DOC: The daemons of the site that this daemon knows.
  *
- * A daemon is found by its row in the platform's store, or by its first
- * beacon. Its beacons say what its target does; without them for some time
- * nothing is sent to it. Nothing here needs the store once daemons know each
- * other.
+ * A daemon is discovered by its row in the platform's store, or by its first
+ * beacon. Its beacons carry the state of its target. A daemon whose beacons
+ * have been missing for some time receives no requests. Once daemons know each
+ * other, the roster doesn't depend on the store.
  */
 
 #include "policy/fanout.h"
 #include "policy/origin.h"
 #include "proxy/target.h"
 
-/* Fitted fan-outs that one daemon tells. */
+/* Fan-out estimates that one daemon announces. */
 #define JL_MEMBER_FANOUT_MAX 32
 
 /**
  * struct jl_member - one daemon
  * @name: unique in the site
- * @peer: where it takes requests and beacons
- * @epoch: wall clock of its start in microseconds
- * @sequence: of its last beacon
- * @state: of its target
- * @target: identifier of its target's life
+ * @zone: its availability zone
+ * @service: service of its target
+ * @target: identifier of its target
+ * @peer: where it accepts requests and beacons
+ * @epoch: wall clock at its start in microseconds; identifies its incarnation
+ * @sequence: sequence number of its last beacon
+ * @state: state of its target
  * @limit: requests that run at its target at once
- * @capacity: requests a second that its target can do, 0 while not known
+ * @capacity: requests a second that its target can complete, 0 while not known
  * @shed: share of the demand that entries should refuse
- * @room: share of its capacity that is free for other zones
- * @failing: share of its requests that its target fails by itself
- * @site_version: configuration that it has in force
- * @far: it is in another zone, and its beacons come more rarely
- * @heard_us: time of its last beacon, 0 for none
- * @shed_us: time at which @shed was above 0 last
- * @avoid_until_us: a sending to it failed; nothing is sent before
- * @outstanding: requests of this daemon that are there
+ * @spare_share: share of its capacity that is free for other zones
+ * @failure_rate: share of its requests that its target itself fails
+ * @site_version: version of the configuration that it uses
+ * @in_other_zone: it is in another zone, and its beacons are less frequent
+ * @last_beacon_us: time of its last beacon, 0 for none
+ * @avoid_until_us: a request to it failed; it receives none before this time
+ * @outstanding: requests that this daemon has sent to it, without an answer so
+ *               far
  * @fanout: calls that runs at its target make
- * @arrivals: requests that came to it as an entry
+ * @arrivals: requests that it received as an entry
  */
 struct jl_member
 {
@@ -52,11 +54,11 @@
   unsigned limit;
   double capacity;
   double shed;
-  double room;
-  double failing;
+  double spare_share;
+  double failure_rate;
   uint64_t site_version;
-  bool far;
-  uint64_t heard_us;
+  bool in_other_zone;
+  uint64_t last_beacon_us;
   uint64_t avoid_until_us;
   unsigned outstanding;
   unsigned fanout_count;
@@ -65,8 +67,9 @@
 };
 
 /**
- * struct jl_roster - all daemons, this one among them
- * @members: of struct jl_member, never removed
+ * struct jl_roster - all known daemons, this one among them
+ * @members: array of struct jl_member, which are never removed
+ * @by_name: the same by name
  * @own_zone: availability zone of this daemon
  */
 struct jl_roster
@@ -80,70 +83,80 @@
 void jl_roster_clear (struct jl_roster *roster);
 
 /**
- * jl_roster_member - the daemon called @name, added if it is new
+ * jl_roster_member - returns the daemon called @name, which it adds if it is
+ * new
  */
 struct jl_member *jl_roster_member (struct jl_roster *roster, const char *name);
 
 /**
- * jl_member_is_heard - whether its beacons came lately
+ * jl_member_is_alive - whether a beacon came recently enough
  */
-bool jl_member_is_heard (const struct jl_member *member, uint64_t now_us);
+bool jl_member_is_alive (const struct jl_member *member, uint64_t now_us);
 
 /**
- * jl_member_is_newer - whether a beacon tells more than is known
+ * jl_member_is_newer_beacon - whether a beacon is newer than the last one
+ * @epoch: of the beacon
+ * @sequence: of the beacon
  *
- * Epochs are wall clocks at the start of a life, and clocks may step back: a
- * life with a lower epoch counts once the known one has been silent.
+ * Epochs are wall clocks at the start of an incarnation, and clocks may step
+ * back: an incarnation with a lower epoch is accepted once the known one has
+ * sent no beacon for some time.
  */
-bool jl_member_is_newer (const struct jl_member *member,
-                         uint64_t epoch,
-                         uint64_t sequence,
-                         uint64_t now_us);
+bool jl_member_is_newer_beacon (const struct jl_member *member,
+                                uint64_t epoch,
+                                uint64_t sequence,
+                                uint64_t now_us);
 
 /**
- * jl_member_takes_work - whether a request can be sent to it now
+ * jl_member_accepts_work - whether a request to @service can be sent to it now
  */
-bool jl_member_takes_work (const struct jl_member *member,
-                           const char *service,
-                           uint64_t now_us);
+bool jl_member_accepts_work (const struct jl_member *member,
+                             const char *service,
+                             uint64_t now_us);
 
 /**
- * jl_member_avoid - a sending failed: leaves it out for a while
+ * jl_member_avoid - sends no requests to it for a while, after one failed
  */
 void jl_member_avoid (struct jl_member *member, uint64_t now_us);
 
 /**
- * jl_roster_is_call - whether requests of a route are calls of targets
+ * jl_roster_is_call_route - whether requests of a route are calls of targets
  * @route: the route's key
  */
-bool jl_roster_is_call (const struct jl_roster *roster,
-                        uint32_t route,
-                        uint64_t now_us);
+bool jl_roster_is_call_route (const struct jl_roster *roster,
+                              uint32_t route,
+                              uint64_t now_us);
 
 /**
- * jl_roster_heard - number of daemons that are heard
+ * jl_roster_alive_count - returns the number of daemons that are alive
  */
-unsigned jl_roster_heard (const struct jl_roster *roster, uint64_t now_us);
+unsigned jl_roster_alive_count (const struct jl_roster *roster,
+                                uint64_t now_us);
 
 /**
- * jl_roster_told_share - share of the daemons of other zones that the daemon
- * @self tells of itself, 0 to 1
+ * jl_roster_announce_share - returns the share of the daemons of other zones
+ * that the daemon @self sends beacons to
+ *
+ * The share is below 1 in sites with many targets of a service in each zone.
+ * Otherwise the traffic of beacons between zones would grow with the square of
+ * the number of daemons. A daemon needs to know only some targets of other
+ * zones.
  *
- * Answers sites with many targets of a service in each zone: what daemons tell
- * those of other zones would rise with the square of their number. A daemon
- * needs to know only some targets of other zones.
+ * Return: the share, from 0 to 1.
  */
-double jl_roster_told_share (const struct jl_roster *roster,
-                             const struct jl_member *self,
-                             uint64_t now_us);
+double jl_roster_announce_share (const struct jl_roster *roster,
+                                 const struct jl_member *self,
+                                 uint64_t now_us);
 
 /**
- * jl_member_tells - whether @peer is in that share
+ * jl_member_announces_to - whether @peer is within the share @share of the
+ * daemons that @self sends beacons to
  *
- * Chance by names chooses, for each daemon others.
+ * A hash of both names selects the daemons, so the selection differs for each
+ * @self.
  */
-bool jl_member_tells (const struct jl_member *self,
-                      const struct jl_member *peer,
-                      double share);
+bool jl_member_announces_to (const struct jl_member *self,
+                             const struct jl_member *peer,
+                             double share);
 
 #endif
--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -56,7 +56,7 @@
     {
       struct jl_member *member = jl_roster_member (&proxy->roster, row->key);
 
-      if (member != proxy->self && member->heard_us == 0)
+      if (member != proxy->self && member->last_beacon_us == 0)
         {
           member->peer = endpoint;
           g_strlcpy (member->zone, json_object_get_string (zone), JL_TEXT_SIZE);
@@ -177,7 +177,7 @@
                               json_object_new_string (target->left[i].id));
       json_object_object_add (
           left, "born_ms",
-          json_object_new_int64 ((int64_t)target->left[i].born_ms));
+          json_object_new_int64 ((int64_t)target->left[i].started_ms));
       json_object_array_add (list, left);
     }
   return list;
@@ -211,7 +211,7 @@
       const struct jl_member *member
           = g_ptr_array_index (proxy->roster.members, i);
 
-      if (!member->far && jl_member_is_heard (member, now_us)
+      if (!member->in_other_zone && jl_member_is_alive (member, now_us)
           && strcmp (member->name, proxy->self->name) < 0)
         before++;
     }
--- a/source/proxy/sync.c
+++ b/source/proxy/sync.c
@@ -112,7 +112,7 @@
       proxy->sync = sync;
     }
   /* Bytes between zones are dear: a near daemon goes before a far one. */
-  if (sync->active && sync->upstream == NULL && !member->far)
+  if (sync->active && sync->upstream == NULL && !member->in_other_zone)
     sync->member = member;
   if (sync->active)
     return;
--- a/source/proxy/target.h
+++ b/source/proxy/target.h
@@ -2,25 +2,28 @@
 #define JACKDAWLADDER_PROXY_TARGET_H
 
 /**
- * DOC: What a daemon believes of its own target.
+ * DOC: The state of the own target, as the daemon knows it.
  *
- * The target's heartbeats are the source. They may be late and out of order:
- * one of an earlier life or with a lower sequence changes nothing. Leaving is
- * final for a life.
+ * It comes from the target's heartbeats. Each start of the target is a new
+ * incarnation. Heartbeats may be late and out of order: one of an earlier
+ * incarnation, or one with a lower sequence number, is ignored. An incarnation
+ * that has begun to leave never takes work again.
  */
 
 #include "jackdawladder/site.h"
 
 /**
- * struct jl_heartbeat - one announcement
- * @id: identifier of the target's life
+ * struct jl_heartbeat - a heartbeat of the target
+ * @id: identifier of the target
  * @service: its service
- * @address: where it takes requests
+ * @address: where it accepts requests
  * @slots: requests that it runs at once
  * @draining: it is about to leave
- * @cold_us: how much longer it is slow after its start
- * @born_ms: wall clock of its start, 0 if not given
- * @sequence: rises with each announcement of a life
+ * @warmup_us: time for which it is still slow after its start
+ * @started_ms: wall clock at its start, 0 if not given
+ * @sequence: rises with each heartbeat of an incarnation
+ *
+ * The pair of @id and @started_ms identifies an incarnation.
  */
 struct jl_heartbeat
 {
@@ -29,17 +32,17 @@
   struct jl_endpoint address;
   unsigned slots;
   bool draining;
-  uint64_t cold_us;
-  uint64_t born_ms;
+  uint64_t warmup_us;
+  uint64_t started_ms;
   uint64_t sequence;
 };
 
 /**
  * enum jl_target_state - whether the own target takes work
- * @JL_TARGET_NONE: none is known
- * @JL_TARGET_UP: it does
- * @JL_TARGET_LEAVING: it finishes what it has
- * @JL_TARGET_DOWN: it does not answer; a heartbeat brings it back
+ * @JL_TARGET_NONE: no target is known
+ * @JL_TARGET_UP: it takes work
+ * @JL_TARGET_LEAVING: it finishes its running requests and takes no new ones
+ * @JL_TARGET_DOWN: it refuses connections; the next heartbeat sets it up again
  */
 enum jl_target_state
 {
@@ -49,31 +52,35 @@
   JL_TARGET_DOWN,
 };
 
-/* Lives that have left and are remembered. */
+/* Incarnations that have left and are remembered. */
 #define JL_TARGET_LEFT_MAX 8
 
 /**
- * struct jl_target_left - a life that has left
+ * struct jl_target_left - an incarnation that has left
  * @id: "" for none
- * @born_ms: no heartbeat of a life that began later is meant
+ * @started_ms: wall clock at its start; heartbeats with this @id and a later
+ *              start belong to a new incarnation
  */
 struct jl_target_left
 {
   char id[JL_TEXT_SIZE];
-  uint64_t born_ms;
+  uint64_t started_ms;
 };
 
 /**
- * struct jl_target - the belief
- * @heard_us: time of the last heartbeat that counted
- * @left: a ring
- * @left_edition: counts the lives that were added to it
+ * struct jl_target - state of the own target
+ * @last: the last heartbeat that was applied
+ * @last_heartbeat_us: when that was
+ * @up_since_us: time at which it last became JL_TARGET_UP
+ * @left: ring of the incarnations that have left
+ * @left_next: index in @left of the next entry to write
+ * @left_edition: number of entries written to @left so far
  */
 struct jl_target
 {
   enum jl_target_state state;
   struct jl_heartbeat last;
-  uint64_t heard_us;
+  uint64_t last_heartbeat_us;
   uint64_t up_since_us;
   struct jl_target_left left[JL_TARGET_LEFT_MAX];
   unsigned left_next;
@@ -81,41 +88,45 @@
 };
 
 /**
- * jl_target_heartbeat - takes an announcement in
+ * jl_target_apply_heartbeat - applies a heartbeat unless it is stale
  *
- * Return: whether the state, the life or the slots have changed.
+ * Return: whether the state, the incarnation or the number of slots has
+ * changed.
  */
-bool jl_target_heartbeat (struct jl_target *target,
-                          const struct jl_heartbeat *heartbeat,
-                          uint64_t now_us);
+bool jl_target_apply_heartbeat (struct jl_target *target,
+                                const struct jl_heartbeat *heartbeat,
+                                uint64_t now_us);
 
 /**
- * jl_target_leave - the target with identifier @id says that it ends
+ * jl_target_mark_left - records that the target with identifier @id leaves
  * @now_ms: wall clock
  *
- * That is final for the life, also when this daemon, just started, has not
- * heard of it before.
+ * The incarnation never takes work again, even if this daemon has just started
+ * and has had no heartbeat of it.
  *
- * Return: whether it was the current one.
+ * Return: whether it was the current incarnation.
  */
 bool
-jl_target_leave (struct jl_target *target, const char *id, uint64_t now_ms);
+jl_target_mark_left (struct jl_target *target, const char *id, uint64_t now_ms);
 
 /**
- * jl_target_restore_left - a life that left while an earlier life of this
- * daemon ran
+ * jl_target_restore_left - records an incarnation that left before this daemon
+ * was restarted
  *
  * Return: whether that changes the state.
  */
 bool jl_target_restore_left (struct jl_target *target,
                              const char *id,
-                             uint64_t born_ms);
+                             uint64_t started_ms);
 
 /**
- * jl_target_down - the target refuses connections
+ * jl_target_mark_down - records that the target refuses connections
  */
-void jl_target_down (struct jl_target *target);
+void jl_target_mark_down (struct jl_target *target);
 
+/**
+ * jl_target_state_name - returns the name of @state in logs and on pages
+ */
 const char *jl_target_state_name (enum jl_target_state state);
 
 #endif
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -149,13 +149,13 @@
 
   g_strlcpy (member->zone, zone, sizeof member->zone);
   g_strlcpy (member->service, service, sizeof member->service);
-  member->far = strcmp (zone, "z1") != 0;
+  member->in_other_zone = strcmp (zone, "z1") != 0;
   member->peer = at (rig, OTHER_PORT);
   member->state = JL_TARGET_UP;
   member->limit = 10;
   member->capacity = 100;
-  member->room = 1;
-  member->heard_us = jl_now ();
+  member->spare_share = 1;
+  member->last_beacon_us = jl_now ();
   return member;
 }
 
@@ -257,7 +257,7 @@
     .name = "inner",
     .host = "a",
     .prefix = "/",
-    .repeat = JL_REPEAT_ANY,
+    .retry_policy = JL_RETRY_POLICY_IDEMPOTENT,
     .timeout_us = JL_USEC_PER_SEC,
     .attempts_max = 2,
     .split_count = 1,
@@ -265,9 +265,9 @@
   struct jl_site *site = jl_site_new (1);
 
   g_strlcpy (route.split[0].service, "deep", sizeof route.split[0].service);
-  jl_site_add (site, &route);
+  jl_site_add_route (site, &route);
   jl_site_seal (site);
-  site->body_bytes = 1000;
+  site->body_bytes_max = 1000;
   rig->proxy->site = site;
   rig->proxy->call_routes[0] = jl_name_key ("inner");
   rig->proxy->call_route_count = 1;
@@ -420,7 +420,7 @@
       g_strlcpy (added.host, "a", sizeof added.host);
       g_strlcpy (added.split[0].service, names[i],
                  sizeof added.split[0].service);
-      jl_site_add (site, &added);
+      jl_site_add_route (site, &added);
       members[i] = add (&rig, names[i], "z1", names[i]);
     }
   members[0]->fanout_count = 2;
@@ -431,11 +431,11 @@
   members[1]->fanout_count = 1;
   members[1]->fanout[0] = (struct jl_fanout_entry){ jl_name_key ("middle"),
                                                     jl_name_key ("deep"), 1 };
-  route = jl_site_route (site, jl_name_key ("front"));
+  route = jl_site_route_by_key (site, jl_name_key ("front"));
   /* Enough for one and a half repeats at each service, of four daemons. */
   rig.options.retry_slack = 1.5 * 4 / 0.8;
-  cr_assert_not (jl_demand_spend_repeat (rig.proxy, site, route));
+  cr_assert_not (jl_demand_spend_retry (rig.proxy, site, route));
   rig.options.retry_slack = 2.5 * 4 / 0.8;
-  cr_assert (jl_demand_spend_repeat (rig.proxy, site, route));
-  cr_assert_not (jl_demand_spend_repeat (rig.proxy, site, route), "spent");
+  cr_assert (jl_demand_spend_retry (rig.proxy, site, route));
+  cr_assert_not (jl_demand_spend_retry (rig.proxy, site, route), "spent");
 }
--- a/tests/proxy/decode.c
+++ b/tests/proxy/decode.c
@@ -30,21 +30,21 @@
   cr_assert_not_null (site);
   cr_assert_eq (site->version, 0x1c);
   cr_assert_eq (site->idle_timeout_us, 15 * JL_USEC_PER_SEC);
-  route = jl_site_find (site, "A.example:80", "/x/z?q=/x/y/");
+  route = jl_site_find_route (site, "A.example:80", "/x/z?q=/x/y/");
   cr_assert_str_eq (route->name, "r1");
   cr_assert_eq (route->split_count, 2);
   cr_assert_eq (route->split[1].weight, 10);
-  cr_assert_eq (route->repeat, JL_REPEAT_ANY);
-  route = jl_site_find (site, "a.example", "/x/y/1");
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_IDEMPOTENT);
+  route = jl_site_find_route (site, "a.example", "/x/y/1");
   cr_assert_str_eq (route->name, "r2");
-  cr_assert_eq (route->repeat, JL_REPEAT_NONE);
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_AT_MOST_ONCE);
   cr_assert_eq (route->rank, 0);
-  route = jl_site_find (site, "b.example", "/anything");
-  cr_assert_eq (route->repeat, JL_REPEAT_UPLOAD);
+  route = jl_site_find_route (site, "b.example", "/anything");
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_UPLOAD);
   cr_assert_eq (route->timeout_us, 1500 * JL_USEC_PER_MSEC);
-  cr_assert_null (jl_site_find (site, "a.example", "/other"));
-  cr_assert_null (jl_site_find (site, "c.example", "/x/"));
-  jl_site_drop (site);
+  cr_assert_null (jl_site_find_route (site, "a.example", "/other"));
+  cr_assert_null (jl_site_find_route (site, "c.example", "/x/"));
+  jl_site_unref (site);
 }
 
 Test (decode, a_configuration_that_is_cut_short_is_refused)
--- a/tests/proxy/lane.c
+++ b/tests/proxy/lane.c
@@ -23,12 +23,12 @@
 
   jl_lane_init (&lane);
   lane.limit = 2;
-  cr_assert (jl_lane_arrive (&lane, &items[0]));
-  cr_assert (jl_lane_arrive (&lane, &items[1]));
-  cr_assert_not (jl_lane_arrive (&lane, &items[2]));
-  cr_assert_null (jl_lane_next (&lane));
-  jl_lane_done (&lane);
-  cr_assert_eq (jl_lane_next (&lane), &items[2]);
+  cr_assert (jl_lane_submit (&lane, &items[0]));
+  cr_assert (jl_lane_submit (&lane, &items[1]));
+  cr_assert_not (jl_lane_submit (&lane, &items[2]));
+  cr_assert_null (jl_lane_take_next (&lane));
+  jl_lane_finish (&lane);
+  cr_assert_eq (jl_lane_take_next (&lane), &items[2]);
   cr_assert_eq (lane.running, 2);
   cr_assert_eq (lane.waiting, 0);
 }
@@ -40,10 +40,10 @@
   struct jl_lane_item early = item (2, 1, 1000);
 
   jl_lane_init (&lane);
-  cr_assert_not (jl_lane_arrive (&lane, &early));
-  cr_assert_not (jl_lane_arrive (&lane, &late));
+  cr_assert_not (jl_lane_submit (&lane, &early));
+  cr_assert_not (jl_lane_submit (&lane, &late));
   lane.limit = 1;
-  cr_assert_eq (jl_lane_next (&lane), &late);
+  cr_assert_eq (jl_lane_take_next (&lane), &late);
 }
 
 Test (lane, hands_back_what_cannot_end_in_time)
@@ -53,11 +53,11 @@
   struct jl_lane_item patient = item (1, 0, 1000);
 
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &patient);
-  jl_lane_arrive (&lane, &brief);
-  cr_assert_null (jl_lane_expired (&lane, 50, 40));
-  cr_assert_eq (jl_lane_expired (&lane, 70, 40), &brief);
-  cr_assert_null (jl_lane_expired (&lane, 70, 40));
+  jl_lane_submit (&lane, &patient);
+  jl_lane_submit (&lane, &brief);
+  cr_assert_null (jl_lane_take_expired (&lane, 50, 40));
+  cr_assert_eq (jl_lane_take_expired (&lane, 70, 40), &brief);
+  cr_assert_null (jl_lane_take_expired (&lane, 70, 40));
   cr_assert_eq (lane.waiting, 1);
 }
 
@@ -71,11 +71,12 @@
   jl_lane_init (&lane);
   lane.limit = 93;
   lane.waiting = 300;
-  cr_assert_not (jl_lane_is_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
   lane.waiting = 400;
-  cr_assert (jl_lane_is_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
-  cr_assert_not (jl_lane_is_long (&lane, &urgent, 91 * JL_USEC_PER_MSEC));
-  cr_assert_not (jl_lane_is_long (&lane, &call, 0), "nothing has ended yet");
+  cr_assert (jl_lane_is_too_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &urgent, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &call, 0),
+                 "nothing has ended yet");
 }
 
 Test (lane, a_request_behind_waiting_ones_does_not_overtake_them)
@@ -85,10 +86,10 @@
   struct jl_lane_item second = item (1, 0, 1000);
 
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &first);
+  jl_lane_submit (&lane, &first);
   lane.limit = 1;
-  cr_assert_not (jl_lane_arrive (&lane, &second));
-  cr_assert_eq (jl_lane_next (&lane), &first);
+  cr_assert_not (jl_lane_submit (&lane, &second));
+  cr_assert_eq (jl_lane_take_next (&lane), &first);
 }
 
 /* A cancellation among the look-ups of many listings. */
@@ -101,8 +102,8 @@
   distant.due_us = 300;
   close.due_us = 155;
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &distant);
-  jl_lane_arrive (&lane, &close);
+  jl_lane_submit (&lane, &distant);
+  jl_lane_submit (&lane, &close);
   lane.limit = 1;
-  cr_assert_eq (jl_lane_next (&lane), &close);
+  cr_assert_eq (jl_lane_take_next (&lane), &close);
 }
--- a/tests/proxy/load.c
+++ b/tests/proxy/load.c
@@ -5,7 +5,7 @@
 #include <criterion/criterion.h>
 #include <math.h>
 
-#include "policy/failing.h"
+#include "policy/failure-rate.h"
 #include "policy/fanout.h"
 #include "policy/origin.h"
 #include "proxy/plan.h"
@@ -100,10 +100,11 @@
   g_strlcpy (member->service, "deep", sizeof member->service);
   member->state = JL_TARGET_UP;
   member->limit = model->lane.limit;
-  member->capacity = jl_pressure_capacity (&model->pressure, model->lane.limit);
+  member->capacity
+      = jl_load_shedder_capacity (&model->pressure, model->lane.limit);
   member->shed = model->pressure.shed;
-  member->room = model->pressure.room;
-  member->heard_us = JL_USEC_PER_SEC;
+  member->spare_share = model->pressure.spare_share;
+  member->last_beacon_us = JL_USEC_PER_SEC;
 }
 
 static void
@@ -111,16 +112,16 @@
 {
   struct model *near = &zones->near;
 
-  if (near->step % (JL_PRESSURE_WINDOW_US / STEP_US) == 0)
+  if (near->step % (JL_CONTROL_WINDOW_US / STEP_US) == 0)
     {
       tell_zone (zones, "z1", near);
       tell_zone (zones, "z2", &zones->far);
-      *overflow = jl_overflow_of (&zones->roster, "deep", JL_USEC_PER_SEC);
+      *overflow = jl_overflow_compute (&zones->roster, "deep", JL_USEC_PER_SEC);
     }
   for (near->owed += rate * STEP_US / 1e6; near->owed >= 1; near->owed--)
     if (model_offer (near))
-      model_admit (strcmp (jl_overflow_zone (overflow, &zones->roster,
-                                             g_random_double ()),
+      model_admit (strcmp (jl_overflow_choose_zone (overflow, &zones->roster,
+                                                    g_random_double ()),
                            "z1")
                            == 0
                        ? near
@@ -143,7 +144,7 @@
   jl_roster_init (&zones.roster, "z1");
   model_init (&zones.near, 14, 24000);
   model_init (&zones.far, 14, 24000);
-  jl_pressure_done (&zones.far.pressure, 24000);
+  jl_load_shedder_record_hold (&zones.far.pressure, 24000);
   for (unsigned i = 0; i < 5000; i++)
     zones_step (&zones, 1.5 * capacity, &overflow);
   zones.near.served = zones.far.served = 0;
@@ -197,10 +198,10 @@
 {
   struct jl_demand demand = { .route = 1, .rate = rate };
 
-  demand.needs.count = 1;
-  demand.needs.list[0] = (struct jl_need){ "deep", 1, JL_NONE };
+  demand.tree.count = 1;
+  demand.tree.nodes[0] = (struct jl_call_node){ "deep", 1, JL_NONE };
   g_strlcpy (zones->roster.own_zone, zone, JL_TEXT_SIZE);
-  return jl_plan_of (&zones->roster, &demand, 1, &demand, JL_USEC_PER_SEC);
+  return jl_plan_compute (&zones->roster, &demand, 1, &demand, JL_USEC_PER_SEC);
 }
 
 /* Clients of both zones ask as often; returns the share of z1's let in. */
@@ -213,7 +214,7 @@
 
   for (unsigned step = 0; step < seconds * 1000; step++)
     {
-      if (step % (JL_PRESSURE_WINDOW_US / STEP_US) == 0)
+      if (step % (JL_CONTROL_WINDOW_US / STEP_US) == 0)
         {
           tell_zone (zones, "z1", &zones->near);
           tell_zone (zones, "z2", &zones->far);
@@ -224,7 +225,8 @@
            zones->near.owed--)
         for (unsigned i = 0; i < 2; i++)
           {
-            const char *zone = jl_plan_zone (&plans[i], g_random_double ());
+            const char *zone
+                = jl_plan_choose_zone (&plans[i], g_random_double ());
 
             asked += i == 0;
             let_in += i == 0 && zone != NULL;
@@ -279,12 +281,12 @@
       unsigned second = (unsigned)g_random_int_range (2, 9);
 
       for (unsigned i = 0; i < first; i++)
-        jl_fanout_run (&fanout, 1);
+        jl_fanout_count_run (&fanout, 1);
       for (unsigned i = 0; i < second; i++)
-        jl_fanout_run (&fanout, 2);
+        jl_fanout_count_run (&fanout, 2);
       for (unsigned i = 0; i < first * 2 + second; i++)
-        jl_fanout_call (&fanout, 7);
-      jl_fanout_window (&fanout);
+        jl_fanout_count_call (&fanout, 7);
+      jl_fanout_end_window (&fanout);
     }
   count = jl_fanout_list (&fanout, entries, 8);
   cr_assert_eq (count, 2);
@@ -303,37 +305,39 @@
   struct jl_arrivals arrivals = { 0 };
 
   jl_arrivals_add (&arrivals, 1, 30);
-  cr_assert_not (jl_arrivals_lack (&arrivals, 2), "too little was seen");
+  cr_assert_not (jl_arrivals_is_route_absent (&arrivals, 2),
+                 "too little was seen");
   jl_arrivals_add (&arrivals, 1, 30);
-  cr_assert (jl_arrivals_lack (&arrivals, 2));
-  cr_assert_not (jl_arrivals_lack (&arrivals, 1));
+  cr_assert (jl_arrivals_is_route_absent (&arrivals, 2));
+  cr_assert_not (jl_arrivals_is_route_absent (&arrivals, 1));
   for (unsigned i = 0; i < 200; i++)
-    jl_arrivals_fade (&arrivals);
+    jl_arrivals_decay (&arrivals);
   cr_assert_eq (arrivals.count, 0);
 }
 
 /* Half of the runs fail, all since their calls do: not the target's fault. */
 Test (load, failures_further_down_are_not_held_against_a_target)
 {
-  struct jl_failing failing = { 0 };
+  struct jl_failure_rate failure_rate = { 0 };
 
   for (unsigned i = 0; i < 400; i++)
     {
-      jl_failing_run (&failing, i % 2 == 0);
+      jl_failure_rate_count_run (&failure_rate, i % 2 == 0);
       if (i % 2 == 0)
-        jl_failing_call (&failing);
+        jl_failure_rate_count_failed_call (&failure_rate);
       if (i % 10 == 0)
-        jl_failing_fade (&failing);
+        jl_failure_rate_decay (&failure_rate);
     }
-  cr_assert_lt (jl_failing_share (&failing), 0.05);
+  cr_assert_lt (jl_failure_rate_get (&failure_rate), 0.05);
   for (unsigned i = 0; i < 400; i++)
     {
-      jl_failing_run (&failing, i % 2 == 0);
+      jl_failure_rate_count_run (&failure_rate, i % 2 == 0);
       if (i % 10 == 0)
-        jl_failing_fade (&failing);
+        jl_failure_rate_decay (&failure_rate);
     }
-  cr_assert_gt (jl_failing_share (&failing), 0.3);
+  cr_assert_gt (jl_failure_rate_get (&failure_rate), 0.3);
   for (unsigned i = 0; i < 100; i++)
-    jl_failing_fade (&failing);
-  cr_assert_lt (jl_failing_share (&failing), 0.1, "it must be tried again");
+    jl_failure_rate_decay (&failure_rate);
+  cr_assert_lt (jl_failure_rate_get (&failure_rate), 0.1,
+                "it must be tried again");
 }
--- a/tests/proxy/parts/model.c
+++ b/tests/proxy/parts/model.c
@@ -11,7 +11,7 @@
 {
   memset (model, 0, sizeof *model);
   jl_lane_init (&model->lane);
-  jl_pressure_init (&model->pressure);
+  jl_load_shedder_init (&model->pressure);
   model->lane.limit = limit;
   model->hold_us = hold_us;
 }
@@ -33,8 +33,8 @@
   item->rank = 1;
   item->since_us = now_us;
   item->expires_us = now_us + 700 * JL_USEC_PER_MSEC;
-  jl_pressure_arrive (&model->pressure);
-  if (jl_lane_arrive (&model->lane, item))
+  jl_load_shedder_count_arrival (&model->pressure);
+  if (jl_lane_submit (&model->lane, item))
     {
       run_one (model);
       g_free (item);
@@ -47,14 +47,14 @@
   uint64_t now_us = (uint64_t)model->step * STEP_US;
   struct jl_lane_item *item;
 
-  while (
-      (item = jl_lane_expired (&model->lane, now_us, (uint64_t)model->hold_us))
-      != NULL)
+  while ((item = jl_lane_take_expired (&model->lane, now_us,
+                                       (uint64_t)model->hold_us))
+         != NULL)
     {
       model->late++;
       g_free (item);
     }
-  while ((item = jl_lane_next (&model->lane)) != NULL)
+  while ((item = jl_lane_take_next (&model->lane)) != NULL)
     {
       run_one (model);
       g_free (item);
@@ -86,8 +86,8 @@
 
   for (; *slot > 0; (*slot)--)
     {
-      jl_lane_done (&model->lane);
-      jl_pressure_done (&model->pressure, (uint64_t)model->hold_us);
+      jl_lane_finish (&model->lane);
+      jl_load_shedder_record_hold (&model->pressure, (uint64_t)model->hold_us);
       model->served++;
     }
   for (; *pending > 0; (*pending)--)
@@ -98,9 +98,9 @@
       model_admit (model);
   model->step++;
   model->waiting += model->lane.waiting;
-  if (model->step % (JL_PRESSURE_WINDOW_US / STEP_US) == 0)
-    jl_pressure_window (&model->pressure, model->lane.limit,
-                        model->lane.waiting);
+  if (model->step % (JL_CONTROL_WINDOW_US / STEP_US) == 0)
+    jl_load_shedder_end_window (&model->pressure, model->lane.limit,
+                                model->lane.waiting);
 }
 
 void
--- a/tests/proxy/parts/model.h
+++ b/tests/proxy/parts/model.h
@@ -7,7 +7,7 @@
  */
 
 #include "policy/lane.h"
-#include "policy/pressure.h"
+#include "policy/load-shedder.h"
 
 #define STEP_US 1000
 #define DELAY_STEPS 200
@@ -20,7 +20,7 @@
 struct model
 {
   struct jl_lane lane;
-  struct jl_pressure pressure;
+  struct jl_load_shedder pressure;
   double hold_us;
   unsigned pending[DELAY_STEPS];
   unsigned finishing[4096];
--- a/tests/proxy/place.c
+++ b/tests/proxy/place.c
@@ -23,7 +23,7 @@
   member->state = JL_TARGET_UP;
   member->limit = 10;
   member->capacity = 100;
-  member->heard_us = NOW;
+  member->last_beacon_us = NOW;
   return member;
 }
 
@@ -37,8 +37,10 @@
   far = add (&roster, "far", "z2", "s");
   near = add (&roster, "near", "z1", "s");
   near->outstanding = 50;
-  cr_assert_eq (jl_place_pick (&roster, "s", "z1", NULL, 0, NOW), near);
-  cr_assert_eq (jl_place_pick (&roster, "s", "z1", &near, 1, NOW), far);
+  cr_assert_eq (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW),
+                near);
+  cr_assert_eq (jl_place_choose_daemon (&roster, "s", "z1", &near, 1, NOW),
+                far);
   jl_roster_clear (&roster);
 }
 
@@ -50,15 +52,15 @@
   jl_roster_init (&roster, "z1");
   member = add (&roster, "a", "z1", "s");
   member->state = JL_TARGET_LEAVING;
-  cr_assert_null (jl_place_pick (&roster, "s", "z1", NULL, 0, NOW));
+  cr_assert_null (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW));
   member->state = JL_TARGET_UP;
   jl_member_avoid (member, NOW);
-  cr_assert_null (jl_place_pick (&roster, "s", "z1", NULL, 0, NOW));
+  cr_assert_null (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW));
   member->avoid_until_us = 0;
-  member->heard_us = NOW - 5 * JL_USEC_PER_SEC;
-  cr_assert_null (jl_place_pick (&roster, "s", "z1", NULL, 0, NOW));
-  member->heard_us = NOW;
-  cr_assert_null (jl_place_pick (&roster, "t", "z1", NULL, 0, NOW));
+  member->last_beacon_us = NOW - 5 * JL_USEC_PER_SEC;
+  cr_assert_null (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW));
+  member->last_beacon_us = NOW;
+  cr_assert_null (jl_place_choose_daemon (&roster, "t", "z1", NULL, 0, NOW));
   jl_roster_clear (&roster);
 }
 
@@ -77,7 +79,7 @@
   for (unsigned i = 0; i < 10; i++)
     {
       struct jl_member *member
-          = jl_place_pick (&roster, "s", "z1", NULL, 0, NOW);
+          = jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW);
 
       member->outstanding++;
       part += member == joined;
@@ -92,10 +94,10 @@
 {
   struct jl_demand result = { .route = route, .rank = rank, .rate = rate };
 
-  result.needs.count = 1;
-  result.needs.list[0].service = "deep";
-  result.needs.list[0].runs = runs;
-  result.needs.list[0].parent = JL_NONE;
+  result.tree.count = 1;
+  result.tree.nodes[0].service = "deep";
+  result.tree.nodes[0].runs = runs;
+  result.tree.nodes[0].parent = JL_NONE;
   return result;
 }
 
@@ -108,10 +110,13 @@
 
   jl_roster_init (&roster, "z1");
   add (&roster, "a", "z1", "deep")->shed = 0.3;
-  cr_assert_eq (jl_plan_of (&roster, demands, 3, &demands[0], NOW).keep, 1);
-  cr_assert_eq (jl_plan_of (&roster, demands, 3, &demands[1], NOW).keep, 1);
-  cr_assert_float_eq (jl_plan_of (&roster, demands, 3, &demands[2], NOW).keep,
-                      (0.7 * 130 - 50) / 80, 1e-9);
+  cr_assert_eq (
+      jl_plan_compute (&roster, demands, 3, &demands[0], NOW).admit_share, 1);
+  cr_assert_eq (
+      jl_plan_compute (&roster, demands, 3, &demands[1], NOW).admit_share, 1);
+  cr_assert_float_eq (
+      jl_plan_compute (&roster, demands, 3, &demands[2], NOW).admit_share,
+      (0.7 * 130 - 50) / 80, 1e-9);
   jl_roster_clear (&roster);
 }
 
@@ -123,13 +128,13 @@
 
   jl_roster_init (&roster, "z1");
   add (&roster, "a", "z1", "deep")->shed = 0.3;
-  add (&roster, "b", "z2", "deep")->room = 0.5;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_str_eq (jl_plan_zone (&plan, 0.1), "z1");
-  cr_assert_str_eq (jl_plan_zone (&plan, 0.9), "z2");
-  jl_roster_member (&roster, "b")->room = 0;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_null (jl_plan_zone (&plan, 0.9));
+  add (&roster, "b", "z2", "deep")->spare_share = 0.5;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.1), "z1");
+  cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.9), "z2");
+  jl_roster_member (&roster, "b")->spare_share = 0;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_null (jl_plan_choose_zone (&plan, 0.9));
   jl_roster_clear (&roster);
 }
 
@@ -145,9 +150,9 @@
   jl_roster_init (&roster, "z1");
   add (&roster, "a", "z1", "deep")->state = JL_TARGET_DOWN;
   add (&roster, "b", "z2", "deep");
-  plan = jl_plan_of (&roster, demands, 2, &demands[0], NOW);
+  plan = jl_plan_compute (&roster, demands, 2, &demands[0], NOW);
   cr_assert_str_eq (plan.zone, "z2");
-  plan = jl_plan_of (&roster, demands, 2, &demands[1], NOW);
+  plan = jl_plan_compute (&roster, demands, 2, &demands[1], NOW);
   cr_assert_str_eq (plan.zone, "z1");
   jl_roster_clear (&roster);
 }
@@ -161,8 +166,8 @@
 
   jl_roster_init (&roster, "z1");
   add (&roster, "b", "z2", "deep")->shed = 0.4;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_float_eq (plan.keep, 0.6, 1e-9);
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_float_eq (plan.admit_share, 0.6, 1e-9);
   jl_roster_clear (&roster);
 }
 
@@ -179,14 +184,16 @@
   jl_roster_init (&roster, "z1");
   bad = add (&roster, "a", "z1", "deep");
   good = add (&roster, "b", "z2", "deep");
-  bad->failing = 0.5;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
+  bad->failure_rate = 0.5;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_str_eq (plan.zone, "z2");
-  cr_assert_eq (jl_place_pick (&roster, "deep", "z1", NULL, 0, NOW), good);
-  bad->failing = 0.01;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_eq (jl_place_choose_daemon (&roster, "deep", "z1", NULL, 0, NOW),
+                good);
+  bad->failure_rate = 0.01;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_str_eq (plan.zone, "z1");
-  cr_assert_eq (jl_place_pick (&roster, "deep", "z1", NULL, 0, NOW), bad);
+  cr_assert_eq (jl_place_choose_daemon (&roster, "deep", "z1", NULL, 0, NOW),
+                bad);
   jl_roster_clear (&roster);
 }
 
@@ -196,32 +203,34 @@
   struct jl_roster roster;
   struct jl_site *site = jl_site_new (1);
   struct jl_route route = { .name = "r", .host = "h", .prefix = "/" };
-  struct jl_needs needs;
+  struct jl_call_tree tree;
 
   jl_roster_init (&roster, "z1");
   route.split_count = 1;
   route.split[0].weight = 1;
   g_strlcpy (route.split[0].service, "deep", JL_TEXT_SIZE);
-  jl_site_add (site, &route);
+  jl_site_add_route (site, &route);
   jl_site_seal (site);
-  jl_place_needs (&roster, site, jl_site_route (site, jl_name_key ("r")),
-                  &needs);
-  jl_site_drop (site);
-  cr_assert_eq (needs.count, 1);
-  cr_assert_eq (needs.list[0].service, g_intern_string ("deep"));
+  jl_call_tree_estimate (&roster, site,
+                         jl_site_route_by_key (site, jl_name_key ("r")), &tree);
+  jl_site_unref (site);
+  cr_assert_eq (tree.count, 1);
+  cr_assert_eq (tree.nodes[0].service, g_intern_string ("deep"));
   jl_roster_clear (&roster);
 }
 
 /* A clock that stepped back gives a new life a lower epoch than the old one. */
 Test (place, a_new_life_counts_although_its_clock_stepped_back)
 {
-  struct jl_member member = { .epoch = 100, .sequence = 7, .heard_us = NOW };
-
-  cr_assert_not (jl_member_is_newer (&member, 100, 7, NOW));
-  cr_assert (jl_member_is_newer (&member, 100, 8, NOW));
-  cr_assert (jl_member_is_newer (&member, 101, 1, NOW));
-  cr_assert_not (jl_member_is_newer (&member, 90, 1, NOW));
-  cr_assert (jl_member_is_newer (&member, 90, 1, NOW + 2 * JL_USEC_PER_SEC));
+  struct jl_member member
+      = { .epoch = 100, .sequence = 7, .last_beacon_us = NOW };
+
+  cr_assert_not (jl_member_is_newer_beacon (&member, 100, 7, NOW));
+  cr_assert (jl_member_is_newer_beacon (&member, 100, 8, NOW));
+  cr_assert (jl_member_is_newer_beacon (&member, 101, 1, NOW));
+  cr_assert_not (jl_member_is_newer_beacon (&member, 90, 1, NOW));
+  cr_assert (
+      jl_member_is_newer_beacon (&member, 90, 1, NOW + 2 * JL_USEC_PER_SEC));
 }
 
 /*
@@ -232,18 +241,18 @@
 {
   struct jl_roster roster;
   struct jl_demand demands[1] = { demand (1, 2, 10, 8) };
-  struct jl_needs *needs = &demands[0].needs;
+  struct jl_call_tree *tree = &demands[0].tree;
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  needs->count = 2;
-  needs->list[0] = (struct jl_need){ "middle", 2, JL_NONE };
-  needs->list[1] = (struct jl_need){ "deep", 8, 0 };
+  tree->count = 2;
+  tree->nodes[0] = (struct jl_call_node){ "middle", 2, JL_NONE };
+  tree->nodes[1] = (struct jl_call_node){ "deep", 8, 0 };
   add (&roster, "a", "z1", "deep");
   add (&roster, "b", "z2", "middle");
   add (&roster, "c", "z2", "deep")->shed = 0.5;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_float_eq (plan.keep, 0.5, 1e-9);
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_float_eq (plan.admit_share, 0.5, 1e-9);
   cr_assert_str_eq (plan.zone, "z2", "one message crosses, and not two");
   jl_roster_clear (&roster);
 }
@@ -251,12 +260,12 @@
 /* A repeat is charged for each way that leads to a service. */
 Test (place, runs_by_several_ways_add_up)
 {
-  struct jl_needs needs = { .count = 3 };
+  struct jl_call_tree tree = { .count = 3 };
 
-  needs.list[0] = (struct jl_need){ "front", 1, JL_NONE };
-  needs.list[1] = (struct jl_need){ "deep", 2, 0 };
-  needs.list[2] = (struct jl_need){ "deep", 0.5, 0 };
-  cr_assert_float_eq (jl_needs_runs (&needs, "deep"), 2.5, 1e-9);
+  tree.nodes[0] = (struct jl_call_node){ "front", 1, JL_NONE };
+  tree.nodes[1] = (struct jl_call_node){ "deep", 2, 0 };
+  tree.nodes[2] = (struct jl_call_node){ "deep", 0.5, 0 };
+  cr_assert_float_eq (jl_call_tree_runs (&tree, "deep"), 2.5, 1e-9);
 }
 
 /* A zone cut off without a target of every service. */
@@ -270,12 +279,12 @@
   jl_roster_init (&roster, "z1");
   add (&roster, "a", "z1", "front");
   far = add (&roster, "b", "z2", "deep");
-  far->heard_us = NOW - 10 * JL_USEC_PER_SEC;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_null (jl_plan_zone (&plan, 0));
-  far->heard_us = NOW;
-  plan = jl_plan_of (&roster, demands, 1, &demands[0], NOW);
-  cr_assert_not_null (jl_plan_zone (&plan, 0));
+  far->last_beacon_us = NOW - 10 * JL_USEC_PER_SEC;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_null (jl_plan_choose_zone (&plan, 0));
+  far->last_beacon_us = NOW;
+  plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
+  cr_assert_not_null (jl_plan_choose_zone (&plan, 0));
   jl_roster_clear (&roster);
 }
 
@@ -303,8 +312,8 @@
         {
           const struct jl_member *self = g_ptr_array_index (roster.members, j);
 
-          known += jl_member_tells (self, peer,
-                                    jl_roster_told_share (&roster, self, NOW));
+          known += jl_member_announces_to (
+              self, peer, jl_roster_announce_share (&roster, self, NOW));
         }
       told += known;
       least = MIN (least, known);
@@ -325,29 +334,31 @@
   peer = add (&roster, "far", "z2", "s");
   self = add (&roster, "a", "z1", "s");
   add (&roster, "b", "z1", "s");
-  cr_assert_eq (jl_roster_told_share (&roster, self, NOW), 1);
-  cr_assert (jl_member_tells (self, peer, 1));
+  cr_assert_eq (jl_roster_announce_share (&roster, self, NOW), 1);
+  cr_assert (jl_member_announces_to (self, peer, 1));
   jl_roster_clear (&roster);
 }
 
 Test (place, the_retry_budget_slides)
 {
-  struct jl_budget budget = { 0 };
-  struct jl_budget_terms terms = {
-    .ratio = 0.2, .slack = 50, .window_us = 10 * JL_USEC_PER_SEC, .daemons = 10
-  };
+  struct jl_retry_budget budget = { 0 };
+  struct jl_retry_budget_policy policy = { .ratio = 0.2,
+                                           .slack = 50,
+                                           .window_us = 10 * JL_USEC_PER_SEC,
+                                           .daemon_count = 10 };
   double spent = 0;
 
   for (unsigned i = 0; i < 100; i++)
-    jl_budget_request (&budget, &terms, NOW);
-  while (jl_budget_allows (&budget, &terms, NOW, 1))
+    jl_retry_budget_count_request (&budget, &policy, NOW);
+  while (jl_retry_budget_allows (&budget, &policy, NOW, 1))
     {
-      jl_budget_spend (&budget, &terms, NOW, 1);
+      jl_retry_budget_spend (&budget, &policy, NOW, 1);
       spent++;
     }
   cr_assert_leq (spent, 0.2 * 100 + 5);
   cr_assert_geq (spent, 15);
   cr_assert_not (
-      jl_budget_allows (&budget, &terms, NOW + 9 * JL_USEC_PER_SEC, 1));
-  cr_assert (jl_budget_allows (&budget, &terms, NOW + 13 * JL_USEC_PER_SEC, 1));
+      jl_retry_budget_allows (&budget, &policy, NOW + 9 * JL_USEC_PER_SEC, 1));
+  cr_assert (
+      jl_retry_budget_allows (&budget, &policy, NOW + 13 * JL_USEC_PER_SEC, 1));
 }
--- a/tests/proxy/target.c
+++ b/tests/proxy/target.c
@@ -7,10 +7,10 @@
 #include "proxy/target.h"
 
 static struct jl_heartbeat
-heartbeat (const char *id, uint64_t born_ms, uint64_t sequence, bool draining)
+heartbeat (const char *id, uint64_t started_ms, uint64_t sequence, bool draining)
 {
   struct jl_heartbeat result = {
-    .slots = 10, .born_ms = born_ms, .sequence = sequence, .draining = draining
+    .slots = 10, .started_ms = started_ms, .sequence = sequence, .draining = draining
   };
 
   g_strlcpy (result.id, id, sizeof result.id);
@@ -20,7 +20,7 @@
 static bool
 take (struct jl_target *target, struct jl_heartbeat beat)
 {
-  return jl_target_heartbeat (target, &beat, 1);
+  return jl_target_apply_heartbeat (target, &beat, 1);
 }
 
 Test (target, draining_is_final_for_a_life)
@@ -48,7 +48,7 @@
   struct jl_target target = { 0 };
 
   take (&target, heartbeat ("a", 5, 1, false));
-  cr_assert (jl_target_leave (&target, "a", 8));
+  cr_assert (jl_target_mark_left (&target, "a", 8));
   cr_assert_not (take (&target, heartbeat ("a", 5, 9, false)));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
@@ -79,7 +79,7 @@
 {
   struct jl_target target = { 0 };
 
-  cr_assert_not (jl_target_leave (&target, "a", 8));
+  cr_assert_not (jl_target_mark_left (&target, "a", 8));
   cr_assert_not (take (&target, heartbeat ("a", 0, 21, false)));
   cr_assert_not (take (&target, heartbeat ("a", 5, 21, false)));
   cr_assert_eq (target.state, JL_TARGET_NONE);
@@ -92,7 +92,7 @@
   struct jl_target target = { 0 };
 
   take (&target, heartbeat ("a", 5, 7, false));
-  jl_target_leave (&target, "a", 8);
+  jl_target_mark_left (&target, "a", 8);
   cr_assert (take (&target, heartbeat ("a", 9, 1, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
@@ -102,7 +102,7 @@
   struct jl_target target = { 0 };
 
   take (&target, heartbeat ("a", 5, 1, false));
-  jl_target_down (&target);
+  jl_target_mark_down (&target);
   cr_assert_eq (target.state, JL_TARGET_DOWN);
   cr_assert (take (&target, heartbeat ("a", 5, 2, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
@@ -113,7 +113,7 @@
   struct jl_target target = { 0 };
 
   take (&target, heartbeat ("b", 9, 1, false));
-  cr_assert_not (jl_target_leave (&target, "a", 8));
+  cr_assert_not (jl_target_mark_left (&target, "a", 8));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
@@ -128,15 +128,15 @@
   take (&before, heartbeat ("a", 5, 3, true));
   cr_assert_eq (before.left_edition, 1);
   take (&before, heartbeat ("a", 5, 4, true));
-  cr_assert (jl_target_leave (&before, "a", 9));
+  cr_assert (jl_target_mark_left (&before, "a", 9));
   cr_assert_eq (before.left_edition, 1, "it is written once");
   cr_assert_not (jl_target_restore_left (&early, before.left[0].id,
-                                         before.left[0].born_ms));
+                                         before.left[0].started_ms));
   cr_assert_not (take (&early, heartbeat ("a", 5, 2, false)));
   cr_assert_eq (early.state, JL_TARGET_NONE);
   take (&late, heartbeat ("a", 5, 2, false));
   cr_assert (jl_target_restore_left (&late, before.left[0].id,
-                                     before.left[0].born_ms));
+                                     before.left[0].started_ms));
   cr_assert_eq (late.state, JL_TARGET_LEAVING);
   cr_assert (take (&late, heartbeat ("a", 6, 1, false)), "a new life");
   cr_assert_eq (late.state, JL_TARGET_UP);
