--- a/include/jackdawladder/site.h
+++ b/include/jackdawladder/site.h
@@ -72,8 +72,8 @@
  * @references: number of references
  * @head_bytes_max: size of the largest head of a request
  * @body_bytes_max: size of the largest body of a request
- * @head_timeout_us: time in which the head of a request must arrive
- * @idle_timeout_us: time after which an idle connection is closed
+ * @head_timeout_us: longest time from the first byte of a head to its end
+ * @idle_timeout_us: longest time between two messages on a connection
  * @routes: array of struct jl_route, owned
  * @by_host: arrays of routes, by host in lower case
  * @by_key: routes by key
--- a/source/policy/fanout.c
+++ b/source/policy/fanout.c
@@ -21,6 +21,8 @@
   memset (fanout, 0, sizeof *fanout);
 }
 
+/* Counts a run or call of the route @key. A new route is not counted when the
+ * table is full. */
 static void
 count_route (struct jl_fanout_count *counts, unsigned *number, uint32_t key)
 {
@@ -50,6 +52,7 @@
   count_route (fanout->calls, &fanout->call_count, call);
 }
 
+/* Adds the window's counts to the smoothed ones and starts a new window. */
 static void
 end_count_window (struct jl_fanout_count *counts, unsigned number)
 {
@@ -60,6 +63,8 @@
     }
 }
 
+/* Corrects the estimates of one call route by a normalized gradient step. @norm
+ * is the sum of the squares of the smoothed run counts. */
 static void
 fit_call (struct jl_fanout *fanout, unsigned call, double norm)
 {
--- a/source/policy/fanout.h
+++ b/source/policy/fanout.h
@@ -12,7 +12,8 @@
 
 #include "jackdawladder/base.h"
 
-/* Routes of runs, and routes of calls, that one daemon counts separately. */
+/* Largest number of routes of runs, and of routes of calls, that one daemon
+ * counts. */
 #define JL_FANOUT_ROUTES_MAX 8
 
 /**
--- a/source/policy/lane.c
+++ b/source/policy/lane.c
@@ -53,7 +53,7 @@
                      const struct jl_lane_item *item,
                      uint64_t held_us)
 {
-  double left_us = (double)(item->expires_us - item->since_us);
+  double left_us = (double)(item->expires_us - item->arrived_us);
   double wait_us;
 
   if (item->rank == 0 || lane->limit == 0)
@@ -103,6 +103,7 @@
   return item;
 }
 
+/* Returns the first item that expires before @at_us, or NULL. */
 static struct jl_lane_item *
 find_expired (struct cds_list_head *queue, uint64_t at_us)
 {
--- a/source/policy/lane.h
+++ b/source/policy/lane.h
@@ -8,10 +8,10 @@
  * that run there is exact. Requests above the limit wait in a queue. Requests
  * of rank 0 run first; all others run in the order of their due times, so that
  * a request with a short latency goal does not wait behind many with long ones.
- * Load shedding happens at the entries; the queue only absorbs short bursts. A
- * request that can no longer end in time is removed from the queue and refused,
- * so that its caller learns of it at once. A request that arrives at too long a
- * queue is refused as well.
+ * Load shedding happens at the entries; the queue smooths the load that is
+ * admitted. A request that can no longer end in time is removed from the queue
+ * and refused, so that its caller learns of it at once. A request that arrives
+ * at too long a queue is refused as well.
  */
 
 #include "jackdawladder/site.h"
@@ -21,7 +21,7 @@
 /**
  * struct jl_lane_item - a request in the lane, embedded in its owner
  * @rank: priority; 0 is the most important
- * @since_us: arrival time
+ * @arrived_us: arrival time
  * @due_us: time by which its answer should be there
  * @expires_us: time after which its answer is useless
  * @waiting: whether it is in the queue
@@ -30,7 +30,7 @@
 {
   struct cds_list_head link;
   unsigned rank;
-  uint64_t since_us;
+  uint64_t arrived_us;
   uint64_t due_us;
   uint64_t expires_us;
   bool waiting;
--- a/source/policy/origin.h
+++ b/source/policy/origin.h
@@ -5,10 +5,10 @@
  * DOC: Whether a route's requests come from clients or from targets.
  *
  * Both arrive at the same address, and nothing in a request tells them apart.
- * But clients send requests to the daemons of all services, while a target
- * sends its calls only to the daemon beside it. So a route carries calls if
- * there is a service whose daemons receive enough requests of other routes, but
- * none of this route.
+ * But clients send requests to the daemons of all services alike, while a
+ * target's calls arrive only at daemons beside targets of its own service. So a
+ * route carries calls if there is a service whose daemons receive enough
+ * requests of other routes, but none of this route.
  */
 
 #include "jackdawladder/base.h"
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -148,7 +148,7 @@
       || strcmp (message->name, proxy->options->name) == 0)
     return;
   member = jl_roster_member (&proxy->roster, message->name);
-  if (!jl_member_is_newer_beacon (member, message->epoch, message->sequence,
+  if (!jl_member_beacon_is_newer (member, message->epoch, message->sequence,
                                   now_us))
     return;
   /* A brief one says nothing of a life that is not known yet. */
--- a/source/proxy/guard.c
+++ b/source/proxy/guard.c
@@ -149,13 +149,13 @@
                              status >= 500 && status != STATUS_GATEWAY_TIMEOUT);
   jl_histogram_add (&proxy->counters.target_time, held_us);
   jl_histogram_add (&proxy->counters.lane_time,
-                    work->started_us - work->item.since_us);
+                    work->started_us - work->item.arrived_us);
   if (jl_record_wanted (JL_RECORD_SUCCESS))
     jl_record (JL_RECORD_SUCCESS, JL_RECORD_WORK_SERVED,
                "id=%s status=%u target=%s waited_ms=%" PRIu64
                " ran_ms=%" PRIu64,
                attempt_of (work), status, proxy->target.last.id,
-               (work->started_us - work->item.since_us) / JL_USEC_PER_MSEC,
+               (work->started_us - work->item.arrived_us) / JL_USEC_PER_MSEC,
                held_us / JL_USEC_PER_MSEC);
 }
 
@@ -417,11 +417,11 @@
     }
   proxy->counters.work++;
   work->item.rank = work->line.rank;
-  work->item.since_us = jl_now ();
+  work->item.arrived_us = jl_now ();
   work->item.expires_us
-      = work->item.since_us + work->line.left_ms * JL_USEC_PER_MSEC;
+      = work->item.arrived_us + work->line.left_ms * JL_USEC_PER_MSEC;
   work->item.due_us
-      = work->item.since_us + work->line.goal_ms * JL_USEC_PER_MSEC;
+      = work->item.arrived_us + work->line.goal_ms * JL_USEC_PER_MSEC;
   jl_load_shedder_count_arrival (&proxy->pressure);
   if (jl_lane_is_too_long (&proxy->lane, &work->item,
                            (uint64_t)proxy->pressure.hold_us))
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -235,10 +235,10 @@
 /* Returns the share of the requests offered by other zones that @zone accepts.
  */
 static double
-accepted_share (const struct jl_roster *roster,
-                const struct jl_demand *demand,
-                const char *zone,
-                uint64_t now_us)
+zone_accepted_share (const struct jl_roster *roster,
+                     const struct jl_demand *demand,
+                     const char *zone,
+                     uint64_t now_us)
 {
   double accepted = 1;
 
@@ -309,7 +309,7 @@
 
       if (cost > best_cost)
         continue;
-      accepted = accepted_share (roster, demand, zone, now_us);
+      accepted = zone_accepted_share (roster, demand, zone, now_us);
       if (cost == best_cost && accepted <= best_accepted)
         continue;
       best = zone;
@@ -335,7 +335,8 @@
   *accepted = 0;
   while ((zone = next_zone (roster, home, &index)) != NULL)
     {
-      double other_accepted = accepted_share (roster, demand, zone, now_us);
+      double other_accepted
+          = zone_accepted_share (roster, demand, zone, now_us);
 
       if (other_accepted <= *accepted)
         continue;
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -18,7 +18,7 @@
 /* Time for which a daemon receives no requests after one to it failed. */
 #define AVOID_US (800 * JL_USEC_PER_MSEC)
 /* Targets of a service in each other zone that a daemon knows on average. */
-#define KNOWN_IN_OTHER_ZONE 6
+#define OTHER_ZONE_KNOWN_TARGETS 6
 
 void
 jl_roster_init (struct jl_roster *roster, const char *own_zone)
@@ -60,7 +60,7 @@
 }
 
 bool
-jl_member_is_newer_beacon (const struct jl_member *member,
+jl_member_beacon_is_newer (const struct jl_member *member,
                            uint64_t epoch,
                            uint64_t sequence,
                            uint64_t now_us)
@@ -185,7 +185,9 @@
 {
   unsigned count = count_own_zone_peers (roster, self, now_us);
 
-  return count <= KNOWN_IN_OTHER_ZONE ? 1 : (double)KNOWN_IN_OTHER_ZONE / count;
+  return count <= OTHER_ZONE_KNOWN_TARGETS
+             ? 1
+             : (double)OTHER_ZONE_KNOWN_TARGETS / count;
 }
 
 bool
--- a/source/proxy/roster.h
+++ b/source/proxy/roster.h
@@ -94,7 +94,7 @@
 bool jl_member_is_alive (const struct jl_member *member, uint64_t now_us);
 
 /**
- * jl_member_is_newer_beacon - whether a beacon is newer than the last one
+ * jl_member_beacon_is_newer - whether a beacon is newer than the last one
  * @epoch: of the beacon
  * @sequence: of the beacon
  *
@@ -102,7 +102,7 @@
  * back: an incarnation with a lower epoch is accepted once the known one has
  * sent no beacon for some time.
  */
-bool jl_member_is_newer_beacon (const struct jl_member *member,
+bool jl_member_beacon_is_newer (const struct jl_member *member,
                                 uint64_t epoch,
                                 uint64_t sequence,
                                 uint64_t now_us);
--- a/source/proxy/target.c
+++ b/source/proxy/target.c
@@ -6,6 +6,8 @@
 
 #include <string.h>
 
+/* Whether an incarnation has left. A heartbeat without a start time matches any
+ * incarnation of @id that has left. */
 static bool
 has_left (const struct jl_target *target, const char *id, uint64_t started_ms)
 {
@@ -38,6 +40,7 @@
   return heartbeat->started_ms < last->started_ms;
 }
 
+/* Adds an incarnation to the ring of those that have left, once. */
 static void
 remember_left (struct jl_target *target, const char *id, uint64_t started_ms)
 {
--- a/tests/proxy/lane.c
+++ b/tests/proxy/lane.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Tests of the queue before the own target.
+ * DOC: Tests of the lane: the concurrency limit and the queue before the own
+ * target.
  */
 
 #include <criterion/criterion.h>
@@ -7,10 +8,10 @@
 #include "policy/lane.h"
 
 static struct jl_lane_item
-item (unsigned rank, uint64_t since_us, uint64_t expires_us)
+item (unsigned rank, uint64_t arrived_us, uint64_t expires_us)
 {
   struct jl_lane_item result
-      = { .rank = rank, .since_us = since_us, .expires_us = expires_us };
+      = { .rank = rank, .arrived_us = arrived_us, .expires_us = expires_us };
 
   return result;
 }
@@ -49,19 +50,21 @@
 Test (lane, hands_back_what_cannot_end_in_time)
 {
   struct jl_lane lane;
-  struct jl_lane_item brief = item (1, 0, 100);
-  struct jl_lane_item patient = item (1, 0, 1000);
+  struct jl_lane_item short_lived = item (1, 0, 100);
+  struct jl_lane_item long_lived = item (1, 0, 1000);
 
   jl_lane_init (&lane);
-  jl_lane_submit (&lane, &patient);
-  jl_lane_submit (&lane, &brief);
+  jl_lane_submit (&lane, &long_lived);
+  jl_lane_submit (&lane, &short_lived);
   cr_assert_null (jl_lane_take_expired (&lane, 50, 40));
-  cr_assert_eq (jl_lane_take_expired (&lane, 70, 40), &brief);
+  cr_assert_eq (jl_lane_take_expired (&lane, 70, 40), &short_lived);
   cr_assert_null (jl_lane_take_expired (&lane, 70, 40));
   cr_assert_eq (lane.waiting, 1);
 }
 
-/* A cold target has just joined and gets all calls of its zone. */
+/* A target that has just joined, and is still slow, receives all calls of its
+ * zone. Requests that would wait too long are refused, so that another target
+ * can run them in time. */
 Test (lane, sends_on_what_would_spend_its_time_in_the_queue)
 {
   struct jl_lane lane;
@@ -76,7 +79,7 @@
   cr_assert (jl_lane_is_too_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
   cr_assert_not (jl_lane_is_too_long (&lane, &urgent, 91 * JL_USEC_PER_MSEC));
   cr_assert_not (jl_lane_is_too_long (&lane, &call, 0),
-                 "nothing has ended yet");
+                 "the hold time is not known yet");
 }
 
 Test (lane, a_request_behind_waiting_ones_does_not_overtake_them)
@@ -92,7 +95,8 @@
   cr_assert_eq (jl_lane_take_next (&lane), &first);
 }
 
-/* A cancellation among the look-ups of many listings. */
+/* Guards against a short request that waits behind many requests with longer
+ * latency goals, as a cancellation among listing queries would. */
 Test (lane, a_close_goal_does_not_wait_behind_distant_ones)
 {
   struct jl_lane lane;
--- a/tests/proxy/load.c
+++ b/tests/proxy/load.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Plays loads against the decisions and checks what callers get.
+ * DOC: Runs simulated loads against load shedding and the plans, and checks how
+ * many requests are served, refused and expired.
  */
 
 #include <criterion/criterion.h>
@@ -18,37 +19,39 @@
 
   g_random_set_seed (1);
   model_init (&model, 14, 24000);
-  model_play (&model, 400, 10);
+  model_run (&model, 400, 10);
   cr_assert_eq (model.refused, 0, "%" PRIu64 " refused", model.refused);
-  cr_assert_eq (model.late, 0);
+  cr_assert_eq (model.expired, 0);
 }
 
-/* A burst of 1.7 times the load, for 20 s, as most days begin with. */
+/* A burst of 1.7 times the usual load for 20 s, as at the start of most days.
+ */
 Test (load, a_burst_is_refused_at_its_entry_and_not_in_the_lane)
 {
   struct model model;
   double capacity = 14 / 0.024;
-  double fitting;
+  double servable;
 
   g_random_set_seed (1);
   model_init (&model, 14, 24000);
-  model_play (&model, 0.8 * capacity, 5);
-  model.served = model.offered = model.refused = model.late = 0;
-  model.waiting = 0;
-  model_play (&model, 1.36 * capacity, 20);
-  fitting = capacity * 20;
-  cr_assert_gt (model.served, 0.95 * fitting, "%" PRIu64 " of %.0f served",
-                model.served, fitting);
-  /* Several calls in a row have to fit into the goal of their request. */
-  cr_assert_lt ((double)model.waiting / 20000 / capacity, 0.05,
-                "they wait for %.0f ms on average",
-                (double)model.waiting / 20 / capacity);
-  /* What is begun and then given up was wasted above. */
-  cr_assert_lt (model.late, 0.02 * (double)model.offered, "%" PRIu64 " late",
-                model.late);
+  model_run (&model, 0.8 * capacity, 5);
+  model.served = model.offered = model.refused = model.expired = 0;
+  model.waiting_sum = 0;
+  model_run (&model, 1.36 * capacity, 20);
+  servable = capacity * 20;
+  cr_assert_gt (model.served, 0.95 * servable, "%" PRIu64 " of %.0f served",
+                model.served, servable);
+  /* A request's latency goal has to cover several calls in sequence. */
+  cr_assert_lt ((double)model.waiting_sum / 20000 / capacity, 0.05,
+                "mean wait in the queue: %.0f ms",
+                (double)model.waiting_sum / 20 / capacity);
+  /* The work that callers have done before a request expires is wasted. */
+  cr_assert_lt (model.expired, 0.02 * (double)model.offered,
+                "%" PRIu64 " expired", model.expired);
 }
 
-/* All but one of the targets are gone: what is left gets 30 times its part. */
+/* All but one of the targets are lost, and the last one receives 30 times its
+ * capacity. */
 Test (load, a_demand_far_above_the_capacity_leaves_a_short_queue)
 {
   struct model model;
@@ -56,15 +59,15 @@
 
   g_random_set_seed (1);
   model_init (&model, 14, 24000);
-  model_play (&model, 0.8 * capacity, 5);
-  model_play (&model, 30 * capacity, 5);
-  model.served = model.late = model.waiting = 0;
-  model_play (&model, 30 * capacity, 10);
+  model_run (&model, 0.8 * capacity, 5);
+  model_run (&model, 30 * capacity, 5);
+  model.served = model.expired = model.waiting_sum = 0;
+  model_run (&model, 30 * capacity, 10);
   cr_assert_gt (model.served, 0.9 * capacity * 10, "%" PRIu64 " served",
                 model.served);
-  cr_assert_lt ((double)model.waiting / 10000 / capacity, 0.05,
-                "they wait for %.0f ms on average",
-                (double)model.waiting / 10 / capacity);
+  cr_assert_lt ((double)model.waiting_sum / 10000 / capacity, 0.05,
+                "mean wait in the queue: %.0f ms",
+                (double)model.waiting_sum / 10 / capacity);
 }
 
 Test (load, after_a_burst_all_are_let_in_again)
@@ -74,15 +77,17 @@
 
   g_random_set_seed (1);
   model_init (&model, 14, 24000);
-  model_play (&model, 1.7 * capacity, 10);
-  model_play (&model, 0.6 * capacity, 5);
+  model_run (&model, 1.7 * capacity, 10);
+  model_run (&model, 0.6 * capacity, 5);
   model.offered = model.refused = 0;
-  model_play (&model, 0.6 * capacity, 5);
+  model_run (&model, 0.6 * capacity, 5);
   cr_assert_lt (model.refused, 0.01 * (double)model.offered);
 }
 
 /**
- * struct zones - two availability zones; all calls come from the first
+ * struct zones - two availability zones with one target each
+ * @near: target of the zone "z1"
+ * @far: target of the zone "z2"
  */
 struct zones
 {
@@ -91,8 +96,9 @@
   struct model far;
 };
 
+/* Stores a target's state in the roster, as its beacon would. */
 static void
-tell_zone (struct zones *zones, const char *zone, const struct model *model)
+announce_zone (struct zones *zones, const char *zone, const struct model *model)
 {
   struct jl_member *member = jl_roster_member (&zones->roster, zone);
 
@@ -101,12 +107,13 @@
   member->state = JL_TARGET_UP;
   member->limit = model->lane.limit;
   member->capacity
-      = jl_load_shedder_capacity (&model->pressure, model->lane.limit);
-  member->shed = model->pressure.shed;
-  member->spare_share = model->pressure.spare_share;
+      = jl_load_shedder_capacity (&model->shedder, model->lane.limit);
+  member->shed = model->shedder.shed;
+  member->spare_share = model->shedder.spare_share;
   member->last_beacon_us = JL_USEC_PER_SEC;
 }
 
+/* One step in which the zone "z1" makes @rate calls a second. */
 static void
 zones_step (struct zones *zones, double rate, struct jl_overflow *overflow)
 {
@@ -114,11 +121,12 @@
 
   if (near->step % (JL_CONTROL_WINDOW_US / STEP_US) == 0)
     {
-      tell_zone (zones, "z1", near);
-      tell_zone (zones, "z2", &zones->far);
+      announce_zone (zones, "z1", near);
+      announce_zone (zones, "z2", &zones->far);
       *overflow = jl_overflow_compute (&zones->roster, "deep", JL_USEC_PER_SEC);
     }
-  for (near->owed += rate * STEP_US / 1e6; near->owed >= 1; near->owed--)
+  for (near->arrivals_due += rate * STEP_US / 1e6; near->arrivals_due >= 1;
+       near->arrivals_due--)
     if (model_offer (near))
       model_admit (strcmp (jl_overflow_choose_zone (overflow, &zones->roster,
                                                     g_random_double ()),
@@ -131,8 +139,8 @@
 }
 
 /*
- * The service above has targets in one zone only: its calls are too many for
- * the deep targets of that zone, and those of the other one are idle.
+ * The calling service has targets in one zone only. Its calls exceed the
+ * capacity of that zone's deep target, while that of the other zone is idle.
  */
 Test (load, calls_overflow_to_a_zone_whose_targets_are_idle)
 {
@@ -144,29 +152,30 @@
   jl_roster_init (&zones.roster, "z1");
   model_init (&zones.near, 14, 24000);
   model_init (&zones.far, 14, 24000);
-  jl_load_shedder_record_hold (&zones.far.pressure, 24000);
+  jl_load_shedder_record_hold (&zones.far.shedder, 24000);
   for (unsigned i = 0; i < 5000; i++)
     zones_step (&zones, 1.5 * capacity, &overflow);
   zones.near.served = zones.far.served = 0;
   for (unsigned i = 0; i < 10000; i++)
     zones_step (&zones, 1.5 * capacity, &overflow);
   cr_assert_gt (zones.near.served + zones.far.served, 0.85 * 15 * capacity,
-                "%" PRIu64 " here and %" PRIu64 " there of %.0f",
+                "%" PRIu64 " in z1 and %" PRIu64 " in z2 of %.0f",
                 zones.near.served, zones.far.served, 15 * capacity);
   cr_assert_gt (zones.near.served, 0.9 * 10 * capacity,
-                "they stay in their zone while it has room");
+                "calls stay in their zone while it has capacity");
   jl_roster_clear (&zones.roster);
 }
 
 /*
- * The same while the other zone has callers of its own and refuses a little.
+ * The other zone has callers of its own and refuses a small share of their
+ * calls, while the own zone refuses half.
  */
 Test (load, calls_overflow_to_a_zone_that_refuses_less)
 {
   struct zones zones;
   struct jl_overflow overflow = { 0 };
   double capacity = 14 / 0.024;
-  double asked = 0;
+  double far_due = 0;
 
   g_random_set_seed (1);
   jl_roster_init (&zones.roster, "z1");
@@ -176,10 +185,10 @@
     {
       if (i == 5000)
         zones.near.refused = zones.near.offered = 0;
-      asked += capacity * 1.05 * STEP_US / 1e6;
-      while (asked >= 1)
+      far_due += capacity * 1.05 * STEP_US / 1e6;
+      while (far_due >= 1)
         {
-          asked--;
+          far_due--;
           if (model_offer (&zones.far))
             model_admit (&zones.far);
         }
@@ -187,12 +196,12 @@
     }
   cr_assert_lt ((double)zones.near.refused, 0.45 * (double)zones.near.offered,
                 "%" PRIu64 " of %" PRIu64 " refused where the zone alone has "
-                "room for half",
+                "capacity for half",
                 zones.near.refused, zones.near.offered);
   jl_roster_clear (&zones.roster);
 }
 
-/* One window of the clients of @zone: what is let in, and where it goes. */
+/* Returns the plan for the requests of clients in @zone. */
 static struct jl_plan
 plan_zone (struct zones *zones, const char *zone, double rate)
 {
@@ -204,32 +213,33 @@
   return jl_plan_compute (&zones->roster, &demand, 1, &demand, JL_USEC_PER_SEC);
 }
 
-/* Clients of both zones ask as often; returns the share of z1's let in. */
+/* Clients of each zone send @rate requests a second. Returns the admitted share
+ * of the requests in z1. */
 static double
-play_both_zones (struct zones *zones, double rate, double seconds)
+run_both_zones (struct zones *zones, double rate, double seconds)
 {
   struct jl_plan plans[2] = { 0 };
-  unsigned asked = 0;
-  unsigned let_in = 0;
+  unsigned offered = 0;
+  unsigned admitted = 0;
 
   for (unsigned step = 0; step < seconds * 1000; step++)
     {
       if (step % (JL_CONTROL_WINDOW_US / STEP_US) == 0)
         {
-          tell_zone (zones, "z1", &zones->near);
-          tell_zone (zones, "z2", &zones->far);
+          announce_zone (zones, "z1", &zones->near);
+          announce_zone (zones, "z2", &zones->far);
           plans[0] = plan_zone (zones, "z1", rate);
           plans[1] = plan_zone (zones, "z2", rate);
         }
-      for (zones->near.owed += rate / 1000; zones->near.owed >= 1;
-           zones->near.owed--)
+      for (zones->near.arrivals_due += rate / 1000;
+           zones->near.arrivals_due >= 1; zones->near.arrivals_due--)
         for (unsigned i = 0; i < 2; i++)
           {
             const char *zone
                 = jl_plan_choose_zone (&plans[i], g_random_double ());
 
-            asked += i == 0;
-            let_in += i == 0 && zone != NULL;
+            offered += i == 0;
+            admitted += i == 0 && zone != NULL;
             if (zone != NULL)
               model_admit (strcmp (zone, "z1") == 0 ? &zones->near
                                                     : &zones->far);
@@ -237,28 +247,29 @@
       model_step (&zones->near, 0);
       model_step (&zones->far, 0);
     }
-  return (double)let_in / asked;
+  return (double)admitted / offered;
 }
 
 /*
- * The deep target of one zone is four times as slow; together the zones are
- * asked for 1.3 times what they can do.
+ * The deep target of one zone is four times as slow as that of the other. The
+ * demand is 1.3 times the capacity of both zones together.
  */
 Test (load, callers_of_a_weak_zone_are_not_the_only_ones_refused)
 {
   struct zones zones;
   double capacity = 14 / 0.024;
-  double asked = 1.3 * (capacity + capacity / 4) / 2;
+  double rate = 1.3 * (capacity + capacity / 4) / 2;
   double share;
 
   g_random_set_seed (1);
   jl_roster_init (&zones.roster, "z1");
   model_init (&zones.near, 14, 96000);
   model_init (&zones.far, 14, 24000);
-  play_both_zones (&zones, asked, 5);
+  run_both_zones (&zones, rate, 5);
   zones.near.served = zones.far.served = 0;
-  share = play_both_zones (&zones, asked, 20);
-  cr_assert_gt (share, 0.62, "%.2f of the weak zone's", share);
+  share = run_both_zones (&zones, rate, 20);
+  cr_assert_gt (share, 0.62, "%.2f of the slow zone's requests admitted",
+                share);
   cr_assert_gt (zones.near.served + zones.far.served,
                 0.93 * 20 * 1.25 * capacity,
                 "%" PRIu64 " served of %.0f that fit",
@@ -266,7 +277,7 @@
   jl_roster_clear (&zones.roster);
 }
 
-/* Runs of two kinds make calls of one kind: 2 and 1 each. */
+/* Runs of two routes make calls of one route: 2 and 1 for each run. */
 Test (load, fanout_is_learned_from_counts)
 {
   struct jl_fanout fanout;
@@ -292,10 +303,10 @@
   cr_assert_eq (count, 2);
   for (unsigned i = 0; i < count; i++)
     {
-      double wanted = entries[i].run == 1 ? 2 : 1;
+      double expected = entries[i].run == 1 ? 2 : 1;
 
       cr_assert_eq (entries[i].call, 7);
-      cr_assert_lt (fabs (entries[i].calls - wanted), 0.25, "run %u: %f",
+      cr_assert_lt (fabs (entries[i].calls - expected), 0.25, "run %u: %f",
                     entries[i].run, entries[i].calls);
     }
 }
@@ -306,7 +317,7 @@
 
   jl_arrivals_add (&arrivals, 1, 30);
   cr_assert_not (jl_arrivals_is_route_absent (&arrivals, 2),
-                 "too little was seen");
+                 "too few requests for a decision");
   jl_arrivals_add (&arrivals, 1, 30);
   cr_assert (jl_arrivals_is_route_absent (&arrivals, 2));
   cr_assert_not (jl_arrivals_is_route_absent (&arrivals, 1));
@@ -315,7 +326,8 @@
   cr_assert_eq (arrivals.count, 0);
 }
 
-/* Half of the runs fail, all since their calls do: not the target's fault. */
+/* Half of the runs fail, each because one of its calls fails. The target itself
+ * must not count as failing. */
 Test (load, failures_further_down_are_not_held_against_a_target)
 {
   struct jl_failure_rate failure_rate = { 0 };
@@ -339,5 +351,5 @@
   for (unsigned i = 0; i < 100; i++)
     jl_failure_rate_decay (&failure_rate);
   cr_assert_lt (jl_failure_rate_get (&failure_rate), 0.1,
-                "it must be tried again");
+                "the rate must decay so that the target is used again");
 }
--- a/tests/proxy/place.c
+++ b/tests/proxy/place.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of placing, refusing and the retry budget.
+ * DOC: Tests of placement, refusal and the retry budget.
  */
 
 #include <criterion/criterion.h>
@@ -11,10 +11,10 @@
 #define NOW (100 * JL_USEC_PER_SEC)
 
 static struct jl_member *
-add (struct jl_roster *roster,
-     const char *name,
-     const char *zone,
-     const char *service)
+add_member (struct jl_roster *roster,
+            const char *name,
+            const char *zone,
+            const char *service)
 {
   struct jl_member *member = jl_roster_member (roster, name);
 
@@ -34,8 +34,8 @@
   struct jl_member *far;
 
   jl_roster_init (&roster, "z1");
-  far = add (&roster, "far", "z2", "s");
-  near = add (&roster, "near", "z1", "s");
+  far = add_member (&roster, "far", "z2", "s");
+  near = add_member (&roster, "near", "z1", "s");
   near->outstanding = 50;
   cr_assert_eq (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW),
                 near);
@@ -50,7 +50,7 @@
   struct jl_member *member;
 
   jl_roster_init (&roster, "z1");
-  member = add (&roster, "a", "z1", "s");
+  member = add_member (&roster, "a", "z1", "s");
   member->state = JL_TARGET_LEAVING;
   cr_assert_null (jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW));
   member->state = JL_TARGET_UP;
@@ -69,12 +69,12 @@
   struct jl_roster roster;
   struct jl_member *old;
   struct jl_member *joined;
-  unsigned part = 0;
+  unsigned joined_count = 0;
 
   jl_roster_init (&roster, "z1");
-  old = add (&roster, "old", "z1", "s");
+  old = add_member (&roster, "old", "z1", "s");
   old->capacity = 900;
-  joined = add (&roster, "joined", "z1", "s");
+  joined = add_member (&roster, "joined", "z1", "s");
   joined->capacity = 0;
   for (unsigned i = 0; i < 10; i++)
     {
@@ -82,9 +82,9 @@
           = jl_place_choose_daemon (&roster, "s", "z1", NULL, 0, NOW);
 
       member->outstanding++;
-      part += member == joined;
+      joined_count += member == joined;
     }
-  cr_assert_geq (part, 4, "%u of 10", part);
+  cr_assert_geq (joined_count, 4, "%u of 10", joined_count);
   cr_assert_eq (old->outstanding + joined->outstanding, 10);
   jl_roster_clear (&roster);
 }
@@ -101,7 +101,8 @@
   return result;
 }
 
-/* A deep service 30 % short: who is let in? */
+/* A deep service refuses 30 % of its demand. The least important requests with
+ * the most runs there are refused first. */
 Test (place, what_is_least_important_and_dearest_gives_way_first)
 {
   struct jl_roster roster;
@@ -109,7 +110,7 @@
       = { demand (1, 0, 10, 4), demand (2, 2, 10, 1), demand (3, 2, 10, 8) };
 
   jl_roster_init (&roster, "z1");
-  add (&roster, "a", "z1", "deep")->shed = 0.3;
+  add_member (&roster, "a", "z1", "deep")->shed = 0.3;
   cr_assert_eq (
       jl_plan_compute (&roster, demands, 3, &demands[0], NOW).admit_share, 1);
   cr_assert_eq (
@@ -127,8 +128,8 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add (&roster, "a", "z1", "deep")->shed = 0.3;
-  add (&roster, "b", "z2", "deep")->spare_share = 0.5;
+  add_member (&roster, "a", "z1", "deep")->shed = 0.3;
+  add_member (&roster, "b", "z2", "deep")->spare_share = 0.5;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.1), "z1");
   cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.9), "z2");
@@ -138,8 +139,8 @@
   jl_roster_clear (&roster);
 }
 
-/* The zone's only deep target is lost: many calls would cross, or one request.
- */
+/* The zone's only deep target is down. Either one request crosses zones, or all
+ * of its calls do. */
 Test (place, a_request_goes_where_the_fewest_messages_cross)
 {
   struct jl_roster roster;
@@ -148,8 +149,8 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add (&roster, "a", "z1", "deep")->state = JL_TARGET_DOWN;
-  add (&roster, "b", "z2", "deep");
+  add_member (&roster, "a", "z1", "deep")->state = JL_TARGET_DOWN;
+  add_member (&roster, "b", "z2", "deep");
   plan = jl_plan_compute (&roster, demands, 2, &demands[0], NOW);
   cr_assert_str_eq (plan.zone, "z2");
   plan = jl_plan_compute (&roster, demands, 2, &demands[1], NOW);
@@ -157,7 +158,7 @@
   jl_roster_clear (&roster);
 }
 
-/* Calls that cross to another zone's target count against what that refuses. */
+/* Calls to another zone's target are subject to the share that it refuses. */
 Test (place, a_zone_without_target_shares_in_the_refusals_of_others)
 {
   struct jl_roster roster;
@@ -165,14 +166,14 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add (&roster, "b", "z2", "deep")->shed = 0.4;
+  add_member (&roster, "b", "z2", "deep")->shed = 0.4;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_float_eq (plan.admit_share, 0.6, 1e-9);
   jl_roster_clear (&roster);
 }
 
-/* One zone's deep target fails half of its work; eight runs all have to pass.
- */
+/* One zone's deep target fails half of its requests, and a client's request
+ * needs eight runs there that all succeed. */
 Test (place, a_request_avoids_a_zone_whose_target_fails_much)
 {
   struct jl_roster roster;
@@ -182,8 +183,8 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  bad = add (&roster, "a", "z1", "deep");
-  good = add (&roster, "b", "z2", "deep");
+  bad = add_member (&roster, "a", "z1", "deep");
+  good = add_member (&roster, "b", "z2", "deep");
   bad->failure_rate = 0.5;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_str_eq (plan.zone, "z2");
@@ -197,7 +198,7 @@
   jl_roster_clear (&roster);
 }
 
-/* A configuration goes while what was worked out from it is still in use. */
+/* Guards against a call tree that holds names of a freed configuration. */
 Test (place, needs_outlive_their_configuration)
 {
   struct jl_roster roster;
@@ -219,23 +220,25 @@
   jl_roster_clear (&roster);
 }
 
-/* A clock that stepped back gives a new life a lower epoch than the old one. */
+/* After a clock has stepped back, a new incarnation has a lower epoch than the
+ * old one. Its beacons must be accepted once the old one is silent. */
 Test (place, a_new_life_counts_although_its_clock_stepped_back)
 {
   struct jl_member member
       = { .epoch = 100, .sequence = 7, .last_beacon_us = NOW };
 
-  cr_assert_not (jl_member_is_newer_beacon (&member, 100, 7, NOW));
-  cr_assert (jl_member_is_newer_beacon (&member, 100, 8, NOW));
-  cr_assert (jl_member_is_newer_beacon (&member, 101, 1, NOW));
-  cr_assert_not (jl_member_is_newer_beacon (&member, 90, 1, NOW));
+  cr_assert_not (jl_member_beacon_is_newer (&member, 100, 7, NOW));
+  cr_assert (jl_member_beacon_is_newer (&member, 100, 8, NOW));
+  cr_assert (jl_member_beacon_is_newer (&member, 101, 1, NOW));
+  cr_assert_not (jl_member_beacon_is_newer (&member, 90, 1, NOW));
   cr_assert (
-      jl_member_is_newer_beacon (&member, 90, 1, NOW + 2 * JL_USEC_PER_SEC));
+      jl_member_beacon_is_newer (&member, 90, 1, NOW + 2 * JL_USEC_PER_SEC));
 }
 
 /*
- * The own zone has lost its middle service: calls go out, and what these call
- * runs out there, so the room that the own deep target has is of no use.
+ * The own zone has no target of the middle service. Its calls go to another
+ * zone, and their own calls run there, so the spare capacity of the own deep
+ * target can't be used.
  */
 Test (place, calls_that_left_the_zone_count_where_they_run)
 {
@@ -248,16 +251,17 @@
   tree->count = 2;
   tree->nodes[0] = (struct jl_call_node){ "middle", 2, JL_NONE };
   tree->nodes[1] = (struct jl_call_node){ "deep", 8, 0 };
-  add (&roster, "a", "z1", "deep");
-  add (&roster, "b", "z2", "middle");
-  add (&roster, "c", "z2", "deep")->shed = 0.5;
+  add_member (&roster, "a", "z1", "deep");
+  add_member (&roster, "b", "z2", "middle");
+  add_member (&roster, "c", "z2", "deep")->shed = 0.5;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_float_eq (plan.admit_share, 0.5, 1e-9);
-  cr_assert_str_eq (plan.zone, "z2", "one message crosses, and not two");
+  cr_assert_str_eq (plan.zone, "z2",
+                    "one message crosses zones instead of two");
   jl_roster_clear (&roster);
 }
 
-/* A repeat is charged for each way that leads to a service. */
+/* A retry is charged for all nodes of the call tree at a service. */
 Test (place, runs_by_several_ways_add_up)
 {
   struct jl_call_tree tree = { .count = 3 };
@@ -268,7 +272,7 @@
   cr_assert_float_eq (jl_call_tree_runs (&tree, "deep"), 2.5, 1e-9);
 }
 
-/* A zone cut off without a target of every service. */
+/* A network partition cuts off a zone that lacks targets of one service. */
 Test (place, a_request_that_cannot_be_completed_does_not_begin)
 {
   struct jl_roster roster;
@@ -277,8 +281,8 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add (&roster, "a", "z1", "front");
-  far = add (&roster, "b", "z2", "deep");
+  add_member (&roster, "a", "z1", "front");
+  far = add_member (&roster, "b", "z2", "deep");
   far->last_beacon_us = NOW - 10 * JL_USEC_PER_SEC;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_null (jl_plan_choose_zone (&plan, 0));
@@ -288,12 +292,13 @@
   jl_roster_clear (&roster);
 }
 
-/* 30 targets of a service in each of two zones. */
+/* With 30 targets of a service in each of two zones, beacons go to a part of
+ * the daemons in the other zone, and each daemon still receives some. */
 Test (place, some_targets_of_many_are_known_in_other_zones)
 {
   struct jl_roster roster;
-  unsigned told = 0;
-  unsigned least = G_MAXUINT;
+  unsigned announced = 0;
+  unsigned fewest = G_MAXUINT;
 
   jl_roster_init (&roster, "z1");
   for (unsigned i = 0; i < 60; i++)
@@ -301,7 +306,7 @@
       char name[16];
 
       g_snprintf (name, sizeof name, "d%u", i);
-      add (&roster, name, i < 30 ? "z1" : "z2", "s");
+      add_member (&roster, name, i < 30 ? "z1" : "z2", "s");
     }
   for (unsigned i = 30; i < 60; i++)
     {
@@ -315,15 +320,15 @@
           known += jl_member_announces_to (
               self, peer, jl_roster_announce_share (&roster, self, NOW));
         }
-      told += known;
-      least = MIN (least, known);
+      announced += known;
+      fewest = MIN (fewest, known);
     }
-  cr_assert_lt (told, 30 * 9, "%u told", told);
-  cr_assert_geq (least, 1, "each daemon must know some");
+  cr_assert_lt (announced, 30 * 9, "%u announced", announced);
+  cr_assert_geq (fewest, 1, "each daemon must know some targets");
   jl_roster_clear (&roster);
 }
 
-/* As in the sites that are served today. */
+/* With few targets in each zone, beacons go to all daemons. */
 Test (place, all_targets_of_few_are_known_in_other_zones)
 {
   struct jl_roster roster;
@@ -331,9 +336,9 @@
   struct jl_member *peer;
 
   jl_roster_init (&roster, "z1");
-  peer = add (&roster, "far", "z2", "s");
-  self = add (&roster, "a", "z1", "s");
-  add (&roster, "b", "z1", "s");
+  peer = add_member (&roster, "far", "z2", "s");
+  self = add_member (&roster, "a", "z1", "s");
+  add_member (&roster, "b", "z1", "s");
   cr_assert_eq (jl_roster_announce_share (&roster, self, NOW), 1);
   cr_assert (jl_member_announces_to (self, peer, 1));
   jl_roster_clear (&roster);
--- a/tests/proxy/target.c
+++ b/tests/proxy/target.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of what a daemon believes of its own target.
+ * DOC: Tests of the state of the own target.
  */
 
 #include <criterion/criterion.h>
@@ -7,30 +7,34 @@
 #include "proxy/target.h"
 
 static struct jl_heartbeat
-heartbeat (const char *id, uint64_t started_ms, uint64_t sequence, bool draining)
+heartbeat (const char *id,
+           uint64_t started_ms,
+           uint64_t sequence,
+           bool draining)
 {
-  struct jl_heartbeat result = {
-    .slots = 10, .started_ms = started_ms, .sequence = sequence, .draining = draining
-  };
+  struct jl_heartbeat result = { .slots = 10,
+                                 .started_ms = started_ms,
+                                 .sequence = sequence,
+                                 .draining = draining };
 
   g_strlcpy (result.id, id, sizeof result.id);
   return result;
 }
 
 static bool
-take (struct jl_target *target, struct jl_heartbeat beat)
+apply (struct jl_target *target, struct jl_heartbeat received)
 {
-  return jl_target_apply_heartbeat (target, &beat, 1);
+  return jl_target_apply_heartbeat (target, &received, 1);
 }
 
 Test (target, draining_is_final_for_a_life)
 {
   struct jl_target target = { 0 };
 
-  cr_assert (take (&target, heartbeat ("a", 5, 1, false)));
-  cr_assert (take (&target, heartbeat ("a", 5, 2, true)));
+  cr_assert (apply (&target, heartbeat ("a", 5, 1, false)));
+  cr_assert (apply (&target, heartbeat ("a", 5, 2, true)));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
-  take (&target, heartbeat ("a", 5, 3, false));
+  apply (&target, heartbeat ("a", 5, 3, false));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
 
@@ -38,8 +42,8 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 5, 2, true));
-  cr_assert_not (take (&target, heartbeat ("a", 5, 1, false)));
+  apply (&target, heartbeat ("a", 5, 2, true));
+  cr_assert_not (apply (&target, heartbeat ("a", 5, 1, false)));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
 
@@ -47,9 +51,9 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 5, 1, false));
+  apply (&target, heartbeat ("a", 5, 1, false));
   cr_assert (jl_target_mark_left (&target, "a", 8));
-  cr_assert_not (take (&target, heartbeat ("a", 5, 9, false)));
+  cr_assert_not (apply (&target, heartbeat ("a", 5, 9, false)));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
 
@@ -57,33 +61,35 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 5, 7, false));
-  cr_assert (take (&target, heartbeat ("b", 9, 1, false)));
-  cr_assert_not (take (&target, heartbeat ("a", 5, 8, false)));
+  apply (&target, heartbeat ("a", 5, 7, false));
+  cr_assert (apply (&target, heartbeat ("b", 9, 1, false)));
+  cr_assert_not (apply (&target, heartbeat ("a", 5, 8, false)));
   cr_assert_str_eq (target.last.id, "b");
 }
 
-/* Delayed by a partition; these heartbeats do not say when the life began. */
+/* A network partition delays heartbeats of a crashed incarnation, and they
+ * carry no start time. */
 Test (target, a_late_heartbeat_of_a_crashed_life_does_not_replace_the_new_one)
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 0, 7, false));
-  cr_assert (take (&target, heartbeat ("b", 0, 1, false)));
-  cr_assert_not (take (&target, heartbeat ("a", 0, 8, false)));
+  apply (&target, heartbeat ("a", 0, 7, false));
+  cr_assert (apply (&target, heartbeat ("b", 0, 1, false)));
+  cr_assert_not (apply (&target, heartbeat ("a", 0, 8, false)));
   cr_assert_str_eq (target.last.id, "b");
 }
 
-/* The daemon has just started when the target says that it ends. */
+/* The target leaves right after the daemon has started, before the first
+ * heartbeat. */
 Test (target, leaving_is_final_for_a_life_not_heard_of_before)
 {
   struct jl_target target = { 0 };
 
   cr_assert_not (jl_target_mark_left (&target, "a", 8));
-  cr_assert_not (take (&target, heartbeat ("a", 0, 21, false)));
-  cr_assert_not (take (&target, heartbeat ("a", 5, 21, false)));
+  cr_assert_not (apply (&target, heartbeat ("a", 0, 21, false)));
+  cr_assert_not (apply (&target, heartbeat ("a", 5, 21, false)));
   cr_assert_eq (target.state, JL_TARGET_NONE);
-  cr_assert (take (&target, heartbeat ("a", 9, 1, false)));
+  cr_assert (apply (&target, heartbeat ("a", 9, 1, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
@@ -91,9 +97,9 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 5, 7, false));
+  apply (&target, heartbeat ("a", 5, 7, false));
   jl_target_mark_left (&target, "a", 8);
-  cr_assert (take (&target, heartbeat ("a", 9, 1, false)));
+  cr_assert (apply (&target, heartbeat ("a", 9, 1, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
@@ -101,10 +107,10 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("a", 5, 1, false));
+  apply (&target, heartbeat ("a", 5, 1, false));
   jl_target_mark_down (&target);
   cr_assert_eq (target.state, JL_TARGET_DOWN);
-  cr_assert (take (&target, heartbeat ("a", 5, 2, false)));
+  cr_assert (apply (&target, heartbeat ("a", 5, 2, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
@@ -112,32 +118,34 @@
 {
   struct jl_target target = { 0 };
 
-  take (&target, heartbeat ("b", 9, 1, false));
+  apply (&target, heartbeat ("b", 9, 1, false));
   cr_assert_not (jl_target_mark_left (&target, "a", 8));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
-/* The daemon was killed after it had acknowledged the leaving. */
+/* The daemon is killed after it has acknowledged that the target leaves. The
+ * next daemon must not send requests to that incarnation. */
 Test (target, a_leaving_holds_for_the_next_life_of_the_daemon)
 {
   struct jl_target before = { 0 };
-  struct jl_target early = { 0 };
-  struct jl_target late = { 0 };
+  struct jl_target restored_first = { 0 };
+  struct jl_target heartbeat_first = { 0 };
 
-  take (&before, heartbeat ("a", 5, 1, false));
-  take (&before, heartbeat ("a", 5, 3, true));
+  apply (&before, heartbeat ("a", 5, 1, false));
+  apply (&before, heartbeat ("a", 5, 3, true));
   cr_assert_eq (before.left_edition, 1);
-  take (&before, heartbeat ("a", 5, 4, true));
+  apply (&before, heartbeat ("a", 5, 4, true));
   cr_assert (jl_target_mark_left (&before, "a", 9));
-  cr_assert_eq (before.left_edition, 1, "it is written once");
-  cr_assert_not (jl_target_restore_left (&early, before.left[0].id,
+  cr_assert_eq (before.left_edition, 1, "the incarnation is recorded once");
+  cr_assert_not (jl_target_restore_left (&restored_first, before.left[0].id,
                                          before.left[0].started_ms));
-  cr_assert_not (take (&early, heartbeat ("a", 5, 2, false)));
-  cr_assert_eq (early.state, JL_TARGET_NONE);
-  take (&late, heartbeat ("a", 5, 2, false));
-  cr_assert (jl_target_restore_left (&late, before.left[0].id,
+  cr_assert_not (apply (&restored_first, heartbeat ("a", 5, 2, false)));
+  cr_assert_eq (restored_first.state, JL_TARGET_NONE);
+  apply (&heartbeat_first, heartbeat ("a", 5, 2, false));
+  cr_assert (jl_target_restore_left (&heartbeat_first, before.left[0].id,
                                      before.left[0].started_ms));
-  cr_assert_eq (late.state, JL_TARGET_LEAVING);
-  cr_assert (take (&late, heartbeat ("a", 6, 1, false)), "a new life");
-  cr_assert_eq (late.state, JL_TARGET_UP);
+  cr_assert_eq (heartbeat_first.state, JL_TARGET_LEAVING);
+  cr_assert (apply (&heartbeat_first, heartbeat ("a", 6, 1, false)),
+             "a new incarnation");
+  cr_assert_eq (heartbeat_first.state, JL_TARGET_UP);
 }
