--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The guard: from the arrival of a work item to its end.
+ * DOC: The guard: the life cycle of work items, from arrival to result.
  */
 
 #include "guard.h"
@@ -7,21 +7,27 @@
 #include <string.h>
 
 #include "admit.h"
+#include "attempt-table.h"
 #include "entry.h"
 #include "graph.h"
 #include "member.h"
 #include "once.h"
 #include "poison.h"
-#include "seen.h"
 
-/* An announcement holds this long. */
+/* The target counts as down when it has not announced itself for this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
-/* A drained daemon refuses for this long, until its peers have heard of it. */
-#define DRAIN_LINGER_US (2 * JL_USEC_PER_SEC)
-/* It goes on as an entry for this long, if calls never come to an end. */
-#define DRAIN_REFUSE_US (30 * JL_USEC_PER_SEC)
-/* When to come back after a refusal that is no matter of load. */
-#define RETRY_AFTER_MS 500
+/*
+ * A draining daemon keeps refusing work for at least this long, so that its
+ * peers learn that it drains.
+ */
+#define DRAIN_NOTICE_US (2 * JL_USEC_PER_SEC)
+/*
+ * A draining daemon accepts calls as an entry for at most this long, if there
+ * are always calls in progress.
+ */
+#define DRAIN_ENTRY_MAX_US (30 * JL_USEC_PER_SEC)
+/* Retry delay, plus up to 100% of jitter, of refusals not due to overload. */
+#define RETRY_AFTER_BASE_MS 500
 
 static const struct jl_kind *
 kind_of (const struct jl_work *work)
@@ -30,22 +36,22 @@
 }
 
 static void
-target_down (struct jl_core *core, enum jl_reason reason)
+mark_target_down (struct jl_core *core, enum jl_reason reason)
 {
   if (!core->target.up)
     return;
   core->target.up = false;
-  jl_timer_stop (core->timers, &core->target.lapse);
-  jl_admit_slots (core, 0);
+  jl_timer_stop (core->timers, &core->target.lease_timer);
+  jl_admit_set_slots (core, 0);
   jl_admit_refuse_all (core, JL_REASON_TARGET_LOST);
   jl_members_self_changed (core);
   jl_log_event (core, JL_LOG_TARGET_DOWN, reason, 0);
 }
 
 static void
-lease_lapsed (void *context, struct jl_timer *timer G_GNUC_UNUSED)
+handle_lease_expired (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
-  target_down (context, JL_REASON_TIMEOUT);
+  mark_target_down (context, JL_REASON_TIMEOUT);
 }
 
 static void
@@ -74,8 +80,8 @@
 
   if (core->draining)
     return;
-  jl_timer_start (core->timers, &target->lapse,
-                  core->now_us + ANNOUNCE_LEASE_US, lease_lapsed, core);
+  jl_timer_start (core->timers, &target->lease_timer,
+                  core->now_us + ANNOUNCE_LEASE_US, handle_lease_expired, core);
   target->announced_us = core->now_us;
   if (!changed)
     return;
@@ -85,7 +91,7 @@
   target->started = announce->started;
   target->up = true;
   find_service (core);
-  jl_admit_slots (core, announce->slots);
+  jl_admit_set_slots (core, announce->slots);
   jl_members_self_changed (core);
   jl_log_event (core, JL_LOG_TARGET_UP, announce->slots, announce->started);
 }
@@ -93,23 +99,26 @@
 void
 jl_guard_target_leave (struct jl_core *core)
 {
-  target_down (core, JL_REASON_DRAINING);
+  mark_target_down (core, JL_REASON_DRAINING);
 }
 
-/* Fills the report of an answer with the own state and that below. */
+/*
+ * Fills the report of an answer with the load and level of this daemon, and
+ * with the levels that the answers to the calls of @work reported.
+ */
 static void
 fill_report (struct jl_core *core,
              struct jl_report *report,
              const struct jl_work *work)
 {
-  report->load_permille = jl_admit_load (core);
+  report->load_permille = jl_admit_load_permille (core);
   if (core->target.service != JL_NONE)
     jl_report_add (report, core->target.service, jl_admit_level (core));
   if (work != NULL)
     jl_report_merge (report, &work->report);
 }
 
-/* Answers an event for which no work item was made. */
+/* Refuses an attempt for which no work item was created. */
 static void
 refuse_event (struct jl_core *core,
               const struct jl_event_work *event,
@@ -124,12 +133,14 @@
   finish->tokens = event->tokens;
   finish->no_retry = outcome != JL_OUTCOME_NOT_RUN;
   finish->retry_after_ms
-      = RETRY_AFTER_MS + jl_random_below (core, RETRY_AFTER_MS);
+      = RETRY_AFTER_BASE_MS + jl_random_below (core, RETRY_AFTER_BASE_MS);
   fill_report (core, &finish->report, NULL);
   core->counts.refused_reason[reason]++;
 }
 
-/* Why a sending is refused before admission, JL_REASON_NONE if it is not. */
+/*
+ * Returns the reason to refuse an attempt before admission, or JL_REASON_NONE.
+ */
 static enum jl_reason
 check_event (struct jl_core *core, const struct jl_event_work *event)
 {
@@ -167,7 +178,7 @@
   work->deadline_us = core->now_us + event->budget_us;
   work->anchor = event->anchor;
   work->tokens = event->tokens;
-  work->tokens_begun = event->tokens;
+  work->tokens_initial = event->tokens;
   CDS_INIT_LIST_HEAD (&work->queue);
   CDS_INIT_LIST_HEAD (&work->children);
   g_hash_table_insert (core->works, JL_HASH_KEY (work->number), work);
@@ -177,19 +188,19 @@
 void
 jl_guard_work (struct jl_core *core, const struct jl_event_work *event)
 {
-  enum jl_seen seen = jl_seen_find (core, event->attempt);
+  enum jl_attempt_state seen = jl_attempt_find_state (core, event->attempt);
   enum jl_reason reason;
   struct jl_work *work;
 
-  if (seen == JL_SEEN_TOMBSTONE
+  if (seen == JL_ATTEMPT_TOMBSTONE
       && JL_SWITCHED_OFF (core, JL_MECHANISM_TOMBSTONE))
-    seen = JL_SEEN_NEVER;
-  if (seen == JL_SEEN_TOMBSTONE)
+    seen = JL_ATTEMPT_UNSEEN;
+  if (seen == JL_ATTEMPT_TOMBSTONE)
     {
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, JL_REASON_CANCELLED);
       return;
     }
-  if (seen != JL_SEEN_NEVER)
+  if (seen != JL_ATTEMPT_UNSEEN)
     {
       refuse_event (core, event, JL_OUTCOME_UNKNOWN, JL_REASON_DUPLICATE);
       return;
@@ -197,18 +208,18 @@
   reason = check_event (core, event);
   if (reason != JL_REASON_NONE)
     {
-      jl_seen_set (core, event->attempt, JL_SEEN_TOMBSTONE);
+      jl_attempt_set_state (core, event->attempt, JL_ATTEMPT_TOMBSTONE);
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, reason);
       return;
     }
-  jl_seen_set (core, event->attempt, JL_SEEN_ACCEPTED);
-  jl_seen_set_work (core, event->attempt, event->work);
+  jl_attempt_set_state (core, event->attempt, JL_ATTEMPT_ACCEPTED);
+  jl_attempt_set_work (core, event->attempt, event->work);
   work = make_work (core, event);
   core->counts.works[work->priority / JL_SAMPLE_COUNT]++;
-  jl_admit_arrive (core, work);
+  jl_admit_submit (core, work);
 }
 
-/* Answers the sender of a work item and frees the item. */
+/* Reports the result of a work item to its sender and frees the item. */
 static struct jl_effect_finish *
 finish_work (struct jl_core *core,
              struct jl_work *work,
@@ -238,8 +249,8 @@
                  uint32_t retry_after_ms)
 {
   JL_INVARIANT (work->state == JL_WORK_WAITING,
-                "only what has not started is refused as not run");
-  jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
+                "only a waiting work item is refused as not run");
+  jl_attempt_set_state (core, work->attempt, JL_ATTEMPT_TOMBSTONE);
   core->counts.refused[work->priority / JL_SAMPLE_COUNT]++;
   core->counts.refused_reason[reason]++;
   finish_work (core, work, JL_OUTCOME_NOT_RUN, reason)->retry_after_ms
@@ -251,23 +262,24 @@
 {
   struct jl_effect_run *run;
 
-  JL_INVARIANT (work->state == JL_WORK_WAITING, "a work item runs once");
+  JL_INVARIANT (work->state == JL_WORK_WAITING,
+                "a work item starts at most once");
   JL_INVARIANT (core->now_us < work->deadline_us,
-                "nothing runs past its deadline");
+                "no work item starts after its deadline");
   work->state = JL_WORK_RUNNING;
   work->started_us = core->now_us;
   work->target_started = core->target.started;
   if (!kind_of (work)->idempotent)
-    work->anchor = jl_once_mint (core);
+    work->anchor = jl_once_mint_ticket (core);
   core->counts.runs[work->priority / JL_SAMPLE_COUNT]++;
   run = &jl_emit (core, JL_EFFECT_RUN)->run;
   run->work = work->number;
   run->budget_us = work->deadline_us - core->now_us;
 }
 
-/* The target's connection broke under a running item. */
+/* Handles a connection to the target that broke during a run. */
 static void
-handle_broken (struct jl_core *core, struct jl_work *work)
+handle_broken_run (struct jl_core *core, struct jl_work *work)
 {
   enum jl_reason reason = JL_REASON_TARGET_LOST;
 
@@ -290,17 +302,17 @@
   switch (event->result)
     {
     case JL_RUN_ANSWERED:
-      jl_poison_done (core, work->digest);
+      jl_poison_request_answered (core, work->digest);
       finish_work (core, work, JL_OUTCOME_DONE, JL_REASON_NONE);
       return;
     case JL_RUN_NOT_SENT:
-      jl_seen_set (core, work->attempt, JL_SEEN_TOMBSTONE);
+      jl_attempt_set_state (core, work->attempt, JL_ATTEMPT_TOMBSTONE);
       if (work->target_started == core->target.started)
-        target_down (core, JL_REASON_TARGET_LOST);
+        mark_target_down (core, JL_REASON_TARGET_LOST);
       finish_work (core, work, JL_OUTCOME_NOT_RUN, JL_REASON_TARGET_LOST);
       return;
     case JL_RUN_BROKEN:
-      handle_broken (core, work);
+      handle_broken_run (core, work);
       return;
     case JL_RUN_TIMEOUT:
       finish_work (core, work, JL_OUTCOME_UNKNOWN, JL_REASON_TIMEOUT);
@@ -334,11 +346,11 @@
 void
 jl_guard_cancel (struct jl_core *core, const struct jl_message *message)
 {
-  uint64_t number = jl_seen_work (core, message->attempt);
+  uint64_t number = jl_attempt_find_work (core, message->attempt);
   struct jl_work *work
       = g_hash_table_lookup (core->works, JL_HASH_KEY (number));
 
-  /* What an earlier life of this daemon ran is not known any more. */
+  /* This process does not know what an earlier process of the daemon ran. */
   if (message->to.epoch != core->identity.epoch)
     {
       answer_cancel (core, message, JL_MESSAGE_CANCEL_LATE);
@@ -355,17 +367,22 @@
       jl_entry_work_ended (core, work);
       jl_emit (core, JL_EFFECT_ABORT)->abort_work = work->number;
     }
-  if (jl_seen_find (core, message->attempt) == JL_SEEN_NEVER)
-    jl_seen_set (core, message->attempt, JL_SEEN_TOMBSTONE);
+  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNSEEN)
+    jl_attempt_set_state (core, message->attempt, JL_ATTEMPT_TOMBSTONE);
   answer_cancel (core, message,
-                 jl_seen_find (core, message->attempt) == JL_SEEN_TOMBSTONE
+                 jl_attempt_find_state (core, message->attempt)
+                         == JL_ATTEMPT_TOMBSTONE
                      ? JL_MESSAGE_CANCELLED
                      : JL_MESSAGE_CANCEL_LATE);
 }
 
-/* Only wakes the reducer up; jl_guard_check_drained() does the rest. */
+/*
+ * Only makes the reducer run a step: jl_guard_check_drained() is called at the
+ * end of each.
+ */
 static void
-linger_ended (void *context G_GNUC_UNUSED, struct jl_timer *timer G_GNUC_UNUSED)
+handle_drain_notice_end (void *context G_GNUC_UNUSED,
+                         struct jl_timer *timer G_GNUC_UNUSED)
 {
 }
 
@@ -375,9 +392,10 @@
   if (core->draining)
     return;
   core->draining = true;
-  core->drain_refuse_us = core->now_us + DRAIN_REFUSE_US;
-  jl_timer_start (core->timers, &core->drain_linger,
-                  core->now_us + DRAIN_LINGER_US, linger_ended, core);
+  core->drain_refuse_from_us = core->now_us + DRAIN_ENTRY_MAX_US;
+  jl_timer_start (core->timers, &core->drain_notice_timer,
+                  core->now_us + DRAIN_NOTICE_US, handle_drain_notice_end,
+                  core);
   jl_members_leave (core);
   jl_log_event (core, JL_LOG_DRAIN_BEGUN, 0, 0);
 }
@@ -385,12 +403,13 @@
 void
 jl_guard_check_drained (struct jl_core *core)
 {
-  if (!core->draining || core->left || core->drain_linger.index != 0)
+  if (!core->draining || core->exit_emitted
+      || core->drain_notice_timer.heap_position != 0)
     return;
   if ((g_hash_table_size (core->works) > 0
        || g_hash_table_size (core->calls) > 0)
       && !JL_SWITCHED_OFF (core, JL_MECHANISM_DRAIN))
     return;
-  core->left = true;
+  core->exit_emitted = true;
   jl_emit (core, JL_EFFECT_EXIT);
 }
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -1,42 +1,50 @@
 /**
- * DOC: The admission level, from arrivals by priority.
+ * DOC: The admission level, computed from the demand of each priority.
  */
 
 #include "level.h"
 
-/* Arrivals for each window are kept in parts of an item. */
-#define ITEM_PARTS (1 << 16)
+/* Fixed-point representation of one item in the averages of arrivals. */
+#define FIXED_POINT_ONE (1 << 16)
 #define ITEM_MILLI 1000
-/* Weight of the newest window, below the level: 1 in 4. */
-#define ADMITTED_SHIFT 2
-/* Above the level arrivals are kept longer, since they stay away: 1 in 64. */
-#define REFUSED_SHIFT 6
-/* Share of the capacity that is let in after an overloaded window. */
-#define OVERLOADED_PERCENT 98
-/* Overloaded windows in a row after which less is let in than before. */
+/* Weight of the newest window below the level: 1/4. */
+#define ADMITTED_WEIGHT_SHIFT 2
+/*
+ * Weight of the newest window above the level: 1/64. The average decays more
+ * slowly there, since refused callers back off and are not seen for a while.
+ */
+#define REFUSED_WEIGHT_SHIFT 6
+/* Share of the capacity that is admitted after an overloaded window. */
+#define OVERLOADED_CAPACITY_PERCENT 98
+/*
+ * After this many consecutive overloaded windows, the demand admitted is
+ * reduced to a share of what was admitted before.
+ */
 #define PERSISTENT_WINDOWS 3
-#define PERSISTENT_PERCENT 95
-/* First step up, in priorities; each next one is twice as large. */
-#define FIRST_STEP 8
-#define LAST_STEP (JL_PRIORITY_COUNT / 2)
+#define PERSISTENT_DEMAND_PERCENT 95
+/* The first step up, in priorities. Each further step is twice as large. */
+#define STEP_MIN 8
+#define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
 /**
- * struct jl_level - the level and what it is set from
- * @value: lowest priority refused
- * @lowest_refused: most important priority refused in this window
- * @step: how far it comes up at most after the next good window
- * @overloaded: overloaded windows in a row
- * @arrived: arrivals in this window, by priority
- * @demand: arrivals for each window, smoothed, by priority; in parts
- * @arrivals: arrivals in this window
- * @refusals: refusals in this window
+ * struct jl_level - the level and the measurements behind it
+ * @value: the level, the smallest priority value that is refused
+ * @lowest_refused: most important priority that was refused in this window
+ * @step: maximum increase of the level after the next window without overload
+ * @overloaded_windows: number of consecutive overloaded windows
+ * @arrivals: number of arrivals in this window
+ * @refusals: number of refusals in this window
+ * @refused_permille: moving average of the share of arrivals that were refused
+ * @arrived: arrivals in this window by priority
+ * @demand: fixed-point moving average of the arrivals per window by
+ *          priority
  */
 struct jl_level
 {
   uint32_t value;
   uint32_t lowest_refused;
   uint32_t step;
-  uint32_t overloaded;
+  uint32_t overloaded_windows;
   uint32_t arrivals;
   uint32_t refusals;
   uint32_t refused_permille;
@@ -51,7 +59,7 @@
 
   level->value = JL_PRIORITY_COUNT;
   level->lowest_refused = JL_PRIORITY_COUNT;
-  level->step = FIRST_STEP;
+  level->step = STEP_MIN;
   return level;
 }
 
@@ -80,29 +88,30 @@
 }
 
 void
-jl_level_arrive (struct jl_level *level, uint32_t priority)
+jl_level_count_arrival (struct jl_level *level, uint32_t priority)
 {
   level->arrived[priority]++;
   level->arrivals++;
 }
 
 void
-jl_level_refused (struct jl_level *level, uint32_t priority)
+jl_level_count_refusal (struct jl_level *level, uint32_t priority)
 {
   level->refusals++;
   level->lowest_refused = MIN (level->lowest_refused, priority);
   level->value = MIN (level->value, priority + 1);
 }
 
-/* Takes the arrivals of this window into the smoothed ones. */
+/* Updates the moving averages with the arrivals of this window. */
 static void
 update_demand (struct jl_level *level)
 {
   for (uint32_t i = 0; i < JL_PRIORITY_COUNT; i++)
     {
-      uint32_t shift = i < level->value ? ADMITTED_SHIFT : REFUSED_SHIFT;
+      uint32_t shift
+          = i < level->value ? ADMITTED_WEIGHT_SHIFT : REFUSED_WEIGHT_SHIFT;
       uint32_t old = level->demand[i];
-      uint32_t new = level->arrived[i] * ITEM_PARTS;
+      uint32_t new = level->arrived[i] * FIXED_POINT_ONE;
 
       old -= (old + (1U << shift) - 1) >> shift;
       level->demand[i] = old + (new >> shift);
@@ -110,24 +119,24 @@
     }
 }
 
-/* The highest level below which no more than @room parts arrive. */
+/* Returns the highest level at which the demand admitted fits @capacity. */
 static uint32_t
-find_cursor (const struct jl_level *level, uint64_t room)
+highest_level_within (const struct jl_level *level, uint64_t capacity)
 {
   uint64_t sum = 0;
-  uint32_t cursor = 0;
+  uint32_t fitting = 0;
 
-  for (; cursor < JL_PRIORITY_COUNT; cursor++)
+  for (; fitting < JL_PRIORITY_COUNT; fitting++)
     {
-      sum += level->demand[cursor];
-      if (sum > room)
+      sum += level->demand[fitting];
+      if (sum > capacity)
         break;
     }
-  return cursor;
+  return fitting;
 }
 
 static uint64_t
-sum_below (const struct jl_level *level, uint32_t end)
+demand_below (const struct jl_level *level, uint32_t end)
 {
   uint64_t sum = 0;
 
@@ -136,9 +145,12 @@
   return sum;
 }
 
-/* The most important priority that arrives is never refused by the level. */
+/*
+ * Returns the lowest level that still admits the most important priority for
+ * which requests arrive.
+ */
 static uint32_t
-lowest_level (const struct jl_level *level)
+min_level (const struct jl_level *level)
 {
   for (uint32_t i = 0; i < JL_PRIORITY_COUNT; i++)
     if (level->demand[i] > 0)
@@ -147,38 +159,39 @@
 }
 
 static uint64_t
-capacity_parts (const struct jl_level_window *window)
+capacity_fixed_point (const struct jl_level_window *window)
 {
-  return window->capacity_milli * ITEM_PARTS / ITEM_MILLI;
+  return window->capacity_milli * FIXED_POINT_ONE / ITEM_MILLI;
 }
 
 static void
-lower (struct jl_level *level, const struct jl_level_window *window)
+lower_level (struct jl_level *level, const struct jl_level_window *window)
 {
-  uint64_t room = UINT64_MAX;
-  uint32_t cursor;
+  uint64_t capacity = UINT64_MAX;
+  uint32_t fitting;
 
   if (window->capacity_milli > 0)
-    room = capacity_parts (window) * OVERLOADED_PERCENT / 100;
-  if (++level->overloaded >= PERSISTENT_WINDOWS)
-    room = MIN (room,
-                sum_below (level, level->value) * PERSISTENT_PERCENT / 100);
-  cursor = find_cursor (level, room);
-  cursor = MAX (cursor, lowest_level (level));
-  level->value = MIN (level->value, cursor);
-  level->step = FIRST_STEP;
+    capacity
+        = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
+  if (++level->overloaded_windows >= PERSISTENT_WINDOWS)
+    capacity = MIN (capacity, demand_below (level, level->value)
+                                  * PERSISTENT_DEMAND_PERCENT / 100);
+  fitting = highest_level_within (level, capacity);
+  fitting = MAX (fitting, min_level (level));
+  level->value = MIN (level->value, fitting);
+  level->step = STEP_MIN;
 }
 
 static void
 raise_level (struct jl_level *level, const struct jl_level_window *window)
 {
   uint32_t highest = MIN (level->value + level->step, JL_PRIORITY_COUNT);
-  uint32_t cursor = highest;
+  uint32_t fitting = highest;
 
   if (window->capacity_milli > 0)
-    cursor = find_cursor (level, capacity_parts (window));
-  level->step = MIN (level->step * 2, LAST_STEP);
-  level->value = MAX (level->value, MIN (cursor, highest));
+    fitting = highest_level_within (level, capacity_fixed_point (window));
+  level->step = MIN (level->step * 2, STEP_MAX);
+  level->value = MAX (level->value, MIN (fitting, highest));
 }
 
 void
@@ -194,10 +207,10 @@
   level->refusals = 0;
   level->lowest_refused = JL_PRIORITY_COUNT;
   if (!window->overloaded)
-    level->overloaded = 0;
+    level->overloaded_windows = 0;
   if (window->overloaded)
-    lower (level, window);
-  else if (level->value < JL_PRIORITY_COUNT && !window->waiting)
+    lower_level (level, window);
+  else if (level->value < JL_PRIORITY_COUNT && !window->backlogged)
     raise_level (level, window);
 }
 
@@ -205,5 +218,5 @@
 jl_level_idle (const struct jl_level *level)
 {
   return level->value == JL_PRIORITY_COUNT && level->refused_permille == 0
-         && sum_below (level, JL_PRIORITY_COUNT) == 0;
+         && demand_below (level, JL_PRIORITY_COUNT) == 0;
 }
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -1,82 +1,96 @@
 /**
- * DOC: The limit on requests in progress.
+ * DOC: The adaptive concurrency limit: cold start and hill climbing by measured
+ * throughput.
  */
 
 #include "limit.h"
 
-/* A new target starts with one part in this many of its slots. */
-#define COLD_SHARE 8
-/* The limit never goes below one part in this many of the slots. */
-#define FLOOR_SHARE 4
-/* Up to this share of its slots a target counts as unloaded. */
-#define UNLOADED_SHARE 4
-/* Weight of the newest latency in the means: 1 in 32. */
-#define MEAN_SHIFT 5
-/* Latency above the unloaded one from which a lower limit is tried. */
-#define SLOW_PERCENT 300
-/* Answers of the unloaded target from which its latency is known. */
-#define BASELINE_COUNT 64
-/* Requests over which the rate at one limit is measured. */
-#define TRIAL_COUNT 200
-/* Use of the limit from which the rate says something of it. */
-#define USED_PERCENT 85
-/* Size of a step. */
+/* A new target starts with its slots divided by this. */
+#define COLD_START_DIVISOR 8
+/* The limit is never below the slots divided by this. */
+#define MIN_LIMIT_DIVISOR 4
+/* The target counts as unloaded up to its slots divided by this. */
+#define UNLOADED_DIVISOR 4
+/* The newest sample has a weight of 1/32 in the moving averages. */
+#define MEAN_WEIGHT_SHIFT 5
+/*
+ * A lower limit is tried when the latency exceeds this percentage of the
+ * latency without load.
+ */
+#define SLOW_LATENCY_PERCENT 300
+/* Number of samples from which the latency without load counts as known. */
+#define BASELINE_SAMPLES_MIN 64
+/* Number of requests over which the throughput at one limit is measured. */
+#define TRIAL_REQUESTS_MIN 200
+/* A trial is only valid if at least this share of the limit was in use. */
+#define TRIAL_UTILIZATION_PERCENT 85
+/* Size of a step as a share of the current limit. */
 #define STEP_PERCENT 20
-/* A step down may cost this much of the rate, a step up has to gain it. */
-#define TOLERANCE_PERCENT 8
-/* Windows to wait after a lower limit did not help, at first and at most. */
-#define REST_WINDOWS 200
-#define REST_WINDOWS_MAX 6400
-/* Windows without overload after which the limit goes up by a step. */
+/*
+ * A step down may reduce the throughput by up to this much; a step up has to
+ * increase it by at least this much.
+ */
+#define RATE_TOLERANCE_PERCENT 8
+/*
+ * Number of windows without trials after a lower limit brought no improvement.
+ * It doubles with each further failure, up to the maximum.
+ */
+#define TRIAL_PAUSE_WINDOWS 200
+#define TRIAL_PAUSE_WINDOWS_MAX 6400
+/* The limit is raised by one step after this many windows without overload. */
 #define CALM_WINDOWS 20
 
 /**
- * struct trial - what is measured at one limit
- * @skip: requests that began at the limit before; then the others are counted
- * @begun_us: when their count began
- * @used_us: time for which all slots together were in use since then
+ * struct trial - throughput measurement at one limit
+ * @skip_count: completions still to be ignored, since these requests may have
+ *              started under the previous limit
+ * @count: completions counted after that
+ * @started_us: when counting started
+ * @used_us: time for which slots were in use since then, summed over all slots
  */
 struct trial
 {
-  uint32_t skip;
+  uint32_t skip_count;
   uint32_t count;
-  uint64_t begun_us;
+  uint64_t started_us;
   uint64_t used_us;
 };
 
 /**
- * struct jl_limit - the limit and what it is set from
- * @cold: the limit that the age of the target's life allows
- * @adaptive: the limit that its latency allows
- * @held_us: mean time for which a request holds its slot
- * @latency_us: mean latency of answers
- * @baseline_us: mean latency of answers of the unloaded target
+ * struct jl_limit - the limit and the measurements behind it
+ * @cold_limit: limit by the age of the target process
+ * @adaptive_limit: limit by the measured latency and throughput
+ * @started_us: when the target process was first announced
+ * @mean_hold_us: moving average of the time for which a request holds its slot
+ * @mean_latency_us: moving average of the latency of answers
+ * @baseline_latency_us: moving average of the latency of answers without load
  * @running: requests in progress since @running_us
- * @last_rate: requests for each second at the limit before, 0 without one
- * @upwards: the last step was one up
- * @calm: windows without overload so far
- * @rest: windows left in which nothing is tried
- * @next_rest: the same after the next trial in vain
+ * @previous_rate: throughput at the previous limit in requests per second; 0 if
+ *                 there is none to compare with
+ * @upward: whether the last step raised the limit
+ * @calm_windows: consecutive windows without overload
+ * @pause_windows: remaining windows in which no trial takes place
+ * @next_pause_windows: length of the pause after the next failed trial
  */
 struct jl_limit
 {
   uint32_t slots;
-  uint32_t cold;
-  uint32_t adaptive;
-  uint64_t begun_us;
+  uint32_t cold_limit;
+  uint32_t adaptive_limit;
+  uint64_t started_us;
   uint64_t cold_start_us;
-  uint64_t held_us;
-  uint64_t latency_us;
-  uint64_t baseline_us;
+  uint64_t mean_hold_us;
+  uint64_t mean_latency_us;
+  uint64_t baseline_latency_us;
   uint32_t baseline_count;
   struct trial trial;
   uint32_t running;
   uint64_t running_us;
-  uint64_t last_rate;
-  bool upwards;
-  uint32_t calm;
-  uint32_t rest;
-  uint32_t next_rest;
+  uint64_t previous_rate;
+  bool upward;
+  uint32_t calm_windows;
+  uint32_t pause_windows;
+  uint32_t next_pause_windows;
 };
 
 struct jl_limit *
@@ -84,7 +98,7 @@
 {
   struct jl_limit *limit = g_new0 (struct jl_limit, 1);
 
-  limit->next_rest = REST_WINDOWS;
+  limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
   return limit;
 }
 
@@ -97,30 +111,30 @@
 uint32_t
 jl_limit_get (const struct jl_limit *limit)
 {
-  return MIN (limit->cold, limit->adaptive);
+  return MIN (limit->cold_limit, limit->adaptive_limit);
 }
 
 uint64_t
-jl_limit_held (const struct jl_limit *limit)
+jl_limit_mean_hold_us (const struct jl_limit *limit)
 {
-  return limit->held_us;
+  return limit->mean_hold_us;
 }
 
 static uint32_t
-share_of (uint32_t slots, uint32_t share)
+divide_slots (uint32_t slots, uint32_t divisor)
 {
-  return MIN (slots, MAX (slots / share, 1));
+  return MIN (slots, MAX (slots / divisor, 1));
 }
 
 static void
-grow_cold (struct jl_limit *limit, uint64_t now_us)
+update_cold_limit (struct jl_limit *limit, uint64_t now_us)
 {
-  uint32_t first = share_of (limit->slots, COLD_SHARE);
-  uint64_t age_us = now_us - limit->begun_us;
+  uint32_t first = divide_slots (limit->slots, COLD_START_DIVISOR);
+  uint64_t age_us = now_us - limit->started_us;
 
-  limit->cold = limit->slots;
+  limit->cold_limit = limit->slots;
   if (age_us < limit->cold_start_us)
-    limit->cold
+    limit->cold_limit
         = first
           + (uint32_t)((limit->slots - first) * age_us / limit->cold_start_us);
 }
@@ -128,26 +142,26 @@
 static void
 begin_trial (struct jl_limit *limit)
 {
-  limit->trial = (struct trial){ .skip = limit->slots };
+  limit->trial = (struct trial){ .skip_count = limit->slots };
 }
 
 void
-jl_limit_announced (struct jl_limit *limit,
+jl_limit_set_slots (struct jl_limit *limit,
                     uint64_t now_us,
                     uint32_t slots,
-                    bool new_life,
+                    bool new_process,
                     uint64_t cold_start_us)
 {
   limit->slots = slots;
-  limit->adaptive = slots;
-  limit->last_rate = 0;
+  limit->adaptive_limit = slots;
+  limit->previous_rate = 0;
   begin_trial (limit);
-  if (new_life)
+  if (new_process)
     {
-      limit->begun_us = now_us;
+      limit->started_us = now_us;
       limit->cold_start_us = cold_start_us;
     }
-  grow_cold (limit, now_us);
+  update_cold_limit (limit, now_us);
 }
 
 static uint64_t
@@ -155,11 +169,12 @@
 {
   if (mean_us == 0)
     return value_us;
-  return mean_us - (mean_us >> MEAN_SHIFT) + (value_us >> MEAN_SHIFT);
+  return mean_us - (mean_us >> MEAN_WEIGHT_SHIFT)
+         + (value_us >> MEAN_WEIGHT_SHIFT);
 }
 
 void
-jl_limit_running (struct jl_limit *limit, uint64_t now_us, uint32_t running)
+jl_limit_set_running (struct jl_limit *limit, uint64_t now_us, uint32_t running)
 {
   limit->trial.used_us += limit->running * (now_us - limit->running_us);
   limit->running = running;
@@ -167,145 +182,156 @@
 }
 
 static void
-count_done (struct jl_limit *limit)
+count_completion (struct jl_limit *limit)
 {
   struct trial *trial = &limit->trial;
 
-  if (trial->skip == 0)
+  if (trial->skip_count == 0)
     {
       trial->count++;
       return;
     }
-  trial->skip--;
-  trial->begun_us = limit->running_us;
+  trial->skip_count--;
+  trial->started_us = limit->running_us;
   trial->used_us = 0;
 }
 
 void
 jl_limit_done (struct jl_limit *limit,
-               uint64_t held_us,
+               uint64_t hold_us,
                uint64_t latency_us,
                uint32_t running)
 {
-  limit->held_us = update_mean (limit->held_us, MAX (held_us, 1));
-  count_done (limit);
+  limit->mean_hold_us = update_mean (limit->mean_hold_us, MAX (hold_us, 1));
+  count_completion (limit);
   if (latency_us == 0)
     return;
-  limit->latency_us = update_mean (limit->latency_us, latency_us);
-  if (running <= share_of (limit->slots, UNLOADED_SHARE))
+  limit->mean_latency_us = update_mean (limit->mean_latency_us, latency_us);
+  if (running <= divide_slots (limit->slots, UNLOADED_DIVISOR))
     {
-      limit->baseline_us = update_mean (limit->baseline_us, latency_us);
+      limit->baseline_latency_us
+          = update_mean (limit->baseline_latency_us, latency_us);
       limit->baseline_count++;
     }
 }
 
 static void
-step (struct jl_limit *limit, bool upwards)
+step_limit (struct jl_limit *limit, bool upward)
 {
-  uint32_t size = MAX (limit->adaptive * STEP_PERCENT / 100, 1);
-  uint32_t lowest = share_of (limit->slots, FLOOR_SHARE);
+  uint32_t size = MAX (limit->adaptive_limit * STEP_PERCENT / 100, 1);
+  uint32_t lowest = divide_slots (limit->slots, MIN_LIMIT_DIVISOR);
 
-  limit->upwards = upwards;
-  if (upwards)
-    limit->adaptive = MIN (limit->adaptive + size, limit->slots);
+  limit->upward = upward;
+  if (upward)
+    limit->adaptive_limit = MIN (limit->adaptive_limit + size, limit->slots);
   else
-    limit->adaptive
-        = MAX (limit->adaptive - MIN (size, limit->adaptive), lowest);
+    limit->adaptive_limit = MAX (
+        limit->adaptive_limit - MIN (size, limit->adaptive_limit), lowest);
 }
 
 static bool
 is_slow (const struct jl_limit *limit)
 {
-  return limit->baseline_count >= BASELINE_COUNT
-         && limit->latency_us * 100 > limit->baseline_us * SLOW_PERCENT;
+  return limit->baseline_count >= BASELINE_SAMPLES_MIN
+         && limit->mean_latency_us * 100
+                > limit->baseline_latency_us * SLOW_LATENCY_PERCENT;
 }
 
-/* Tries a lower limit if the target is slow at all its slots. */
+/*
+ * Tries a lower limit if the target is slow with all of its slots in use.
+ * Pauses the trials if the previous one led back to all slots.
+ */
 static void
-judge_at_slots (struct jl_limit *limit, uint64_t rate)
+evaluate_at_slots (struct jl_limit *limit, uint64_t rate)
 {
-  bool in_vain = limit->last_rate > 0;
+  bool failed = limit->previous_rate > 0;
 
-  limit->last_rate = 0;
-  if (in_vain)
+  limit->previous_rate = 0;
+  if (failed)
     {
-      limit->rest = limit->next_rest;
-      limit->next_rest = MIN (2 * limit->next_rest, REST_WINDOWS_MAX);
+      limit->pause_windows = limit->next_pause_windows;
+      limit->next_pause_windows
+          = MIN (2 * limit->next_pause_windows, TRIAL_PAUSE_WINDOWS_MAX);
     }
   else if (is_slow (limit))
     {
-      limit->last_rate = rate;
-      step (limit, false);
+      limit->previous_rate = rate;
+      step_limit (limit, false);
     }
 }
 
-/* Goes on in the same direction while that pays, or turns back. */
+/*
+ * Keeps the direction of the last step if the throughput did not fall too much
+ * after a step down, or grew enough after a step up; otherwise reverses it.
+ */
 static void
-judge_below_slots (struct jl_limit *limit, uint64_t rate)
+evaluate_below_slots (struct jl_limit *limit, uint64_t rate)
 {
-  uint32_t percent
-      = limit->upwards ? 100 + TOLERANCE_PERCENT : 100 - TOLERANCE_PERCENT;
-  bool pays = rate * 100 >= limit->last_rate * percent;
+  uint32_t percent = limit->upward ? 100 + RATE_TOLERANCE_PERCENT
+                                   : 100 - RATE_TOLERANCE_PERCENT;
+  bool keeps_direction = rate * 100 >= limit->previous_rate * percent;
 
-  limit->last_rate = rate;
-  step (limit, pays ? limit->upwards : !limit->upwards);
+  limit->previous_rate = rate;
+  step_limit (limit, keeps_direction ? limit->upward : !limit->upward);
 }
 
 static void
-judge_trial (struct jl_limit *limit)
+evaluate_trial (struct jl_limit *limit)
 {
   const struct trial *trial = &limit->trial;
-  uint64_t span_us = MAX (limit->running_us - trial->begun_us, 1);
+  uint64_t span_us = MAX (limit->running_us - trial->started_us, 1);
   uint64_t rate = trial->count * JL_USEC_PER_SEC / span_us;
-  bool used = trial->used_us * 100 >= span_us * USED_PERCENT * limit->adaptive;
+  bool used = trial->used_us * 100
+              >= span_us * TRIAL_UTILIZATION_PERCENT * limit->adaptive_limit;
 
   if (!used)
     {
       begin_trial (limit);
       return;
     }
-  if (limit->adaptive == limit->slots)
-    judge_at_slots (limit, rate);
+  if (limit->adaptive_limit == limit->slots)
+    evaluate_at_slots (limit, rate);
   else
-    judge_below_slots (limit, rate);
+    evaluate_below_slots (limit, rate);
   begin_trial (limit);
 }
 
-/* Without overload the limit comes back up. */
+/* Raises the limit step by step while there is no overload. */
 static void
-note_calm (struct jl_limit *limit)
+handle_calm_window (struct jl_limit *limit)
 {
   begin_trial (limit);
-  if (++limit->calm < CALM_WINDOWS)
+  if (++limit->calm_windows < CALM_WINDOWS)
     return;
-  limit->calm = 0;
-  limit->last_rate = 0;
-  limit->next_rest = REST_WINDOWS;
-  step (limit, true);
+  limit->calm_windows = 0;
+  limit->previous_rate = 0;
+  limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
+  step_limit (limit, true);
 }
 
 void
-jl_limit_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
+jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
 {
-  if (limit->cold < limit->slots)
-    grow_cold (limit, now_us);
+  if (limit->cold_limit < limit->slots)
+    update_cold_limit (limit, now_us);
   if (!overloaded)
     {
-      note_calm (limit);
+      handle_calm_window (limit);
       return;
     }
-  limit->calm = 0;
-  if (limit->rest > 0)
+  limit->calm_windows = 0;
+  if (limit->pause_windows > 0)
     {
-      limit->rest--;
+      limit->pause_windows--;
       begin_trial (limit);
     }
-  else if (limit->trial.count >= TRIAL_COUNT)
-    judge_trial (limit);
+  else if (limit->trial.count >= TRIAL_REQUESTS_MIN)
+    evaluate_trial (limit);
 }
 
 bool
 jl_limit_settled (const struct jl_limit *limit)
 {
-  return limit->cold == limit->slots && limit->adaptive == limit->slots;
+  return limit->cold_limit == limit->slots
+         && limit->adaptive_limit == limit->slots;
 }
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -45,7 +45,7 @@
   message->config_version = config_version (core);
   if (core->config != NULL)
     message->config_digest = core->config->digest;
-  jl_poison_fill (core, message);
+  jl_poison_fill_message (core, message);
   core->counts.messages_sent++;
   if (member == NULL)
     return message;
@@ -213,7 +213,7 @@
   member->gossip_left = REPEAT_FACTOR * bits;
   members->news_count++;
   cds_list_add (&member->news, &members->fresh_news);
-  if (members->push.index != 0)
+  if (members->push.heap_position != 0)
     return;
   if (members->pushed_us != 0)
     due_us = MAX (due_us, members->pushed_us + PUSH_INTERVAL_US);
--- a/source/proxy/relay.c
+++ b/source/proxy/relay.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Passing bodies on between a request and its sending.
+ * DOC: Relays bodies between a request and its upstream request.
  */
 
 #include "proxy/relay.h"
@@ -10,58 +10,58 @@
 jl_relay_init (struct jl_relay *relay, struct jl_request *request)
 {
   relay->request = request;
-  relay->kept = g_byte_array_new ();
-  relay->in_chunks = jl_request_head (request)->chunked;
+  relay->kept_body = g_byte_array_new ();
+  relay->chunked = jl_request_head (request)->chunked;
   jl_request_set_data (request, relay);
 }
 
 void
 jl_relay_clear (struct jl_relay *relay)
 {
-  jl_relay_drop_sending (relay);
-  g_byte_array_free (relay->kept, TRUE);
+  jl_relay_cancel_upstream (relay);
+  g_byte_array_free (relay->kept_body, TRUE);
 }
 
 void
-jl_relay_drop_sending (struct jl_relay *relay)
+jl_relay_cancel_upstream (struct jl_relay *relay)
 {
   if (relay->upstream != NULL)
-    jl_upstream_drop (relay->upstream);
+    jl_upstream_close (relay->upstream);
   relay->upstream = NULL;
 }
 
 bool
-jl_relay_answer (struct jl_relay *relay)
+jl_relay_start_answer (struct jl_relay *relay)
 {
   const struct jl_head *head = jl_upstream_head (relay->upstream);
-  const GByteArray *taken = jl_upstream_taken (relay->upstream);
-  GString *fields = jl_headers_back (head);
-  bool complete = jl_upstream_complete (relay->upstream);
-
-  relay->passing = true;
-  jl_request_start (relay->request, head->status, fields->str,
-                    head->has_length || complete,
-                    head->has_length ? head->length : taken->len);
+  const GByteArray *taken = jl_upstream_buffered_body (relay->upstream);
+  GString *fields = jl_headers_to_client (head);
+  bool complete = jl_upstream_is_complete (relay->upstream);
+
+  relay->answer_started = true;
+  jl_request_start_response (relay->request, head->status, fields->str,
+                             head->has_length || complete,
+                             head->has_length ? head->length : taken->len);
   g_string_free (fields, TRUE);
-  jl_request_piece (relay->request, (const char *)taken->data, taken->len);
+  jl_request_write_body (relay->request, (const char *)taken->data, taken->len);
   return complete;
 }
 
 void
-jl_relay_body (struct jl_relay *relay, const char *data, size_t size)
+jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size)
 {
-  jl_upstream_body (relay->upstream, data, size, relay->in_chunks);
-  if (jl_upstream_backlog (relay->upstream) > JL_CONN_HIGH_BYTES)
-    jl_request_hold (relay->request, true);
+  jl_upstream_write_body (relay->upstream, data, size, relay->chunked);
+  if (jl_upstream_backlog (relay->upstream) > JL_CONN_HIGH_WATER_BYTES)
+    jl_request_set_read_paused (relay->request, true);
 }
 
 void
-jl_relay_kept (struct jl_relay *relay)
+jl_relay_send_kept_body (struct jl_relay *relay)
 {
-  jl_upstream_body (relay->upstream, (const char *)relay->kept->data,
-                    relay->kept->len, relay->in_chunks);
-  if (jl_request_ended (relay->request))
-    jl_upstream_body_end (relay->upstream, relay->in_chunks);
+  jl_upstream_write_body (relay->upstream, (const char *)relay->kept_body->data,
+                          relay->kept_body->len, relay->chunked);
+  if (jl_request_is_complete (relay->request))
+    jl_upstream_end_body (relay->upstream, relay->chunked);
 }
 
 void
@@ -72,9 +72,9 @@
 {
   struct jl_relay *relay = context;
 
-  jl_request_piece (relay->request, data, size);
-  if (jl_request_backlog (relay->request) > JL_CONN_HIGH_BYTES)
-    jl_upstream_hold (upstream, true);
+  jl_request_write_body (relay->request, data, size);
+  if (jl_request_backlog (relay->request) > JL_CONN_HIGH_WATER_BYTES)
+    jl_upstream_set_read_paused (upstream, true);
 }
 
 void
@@ -83,7 +83,7 @@
   struct jl_relay *relay = context;
 
   (void)upstream;
-  jl_request_hold (relay->request, false);
+  jl_request_set_read_paused (relay->request, false);
 }
 
 void
@@ -92,8 +92,8 @@
   struct jl_relay *relay = jl_request_data (request);
 
   (void)context;
-  if (relay != NULL && relay->upstream != NULL && !relay->passing)
-    jl_upstream_body_end (relay->upstream, relay->in_chunks);
+  if (relay != NULL && relay->upstream != NULL && !relay->answer_started)
+    jl_upstream_end_body (relay->upstream, relay->chunked);
 }
 
 void
@@ -103,5 +103,5 @@
 
   (void)context;
   if (relay != NULL && relay->upstream != NULL)
-    jl_upstream_hold (relay->upstream, false);
+    jl_upstream_set_read_paused (relay->upstream, false);
 }
--- a/source/proxy/sync.c
+++ b/source/proxy/sync.c
@@ -1,19 +1,22 @@
 /**
- * DOC: Configurations between daemons, for those that the store does not reach.
+ * DOC: Exchange of configurations between daemons, for daemons that cannot
+ * reach the store.
  */
 
 #include "proxy/proxy.h"
 
 #include <string.h>
 
-/* Wait for the store to bring the newer version first. */
-#define DELAY_US (150 * JL_USEC_PER_MSEC)
-#define TIMEOUT_US (1000 * JL_USEC_PER_MSEC)
+/* Delay before a fetch, in which the store may deliver the newer version. */
+#define FETCH_DELAY_US (150 * JL_USEC_PER_MSEC)
+#define FETCH_TIMEOUT_US (1000 * JL_USEC_PER_MSEC)
 
 /**
- * struct jl_sync - one exchange at a time
- * @member: the daemon that has a newer version
- * @active: an exchange has begun, or will after the delay
+ * struct jl_sync - state of the fetch; at most one is in progress
+ * @member: daemon that has a newer version
+ * @upstream: request to @member, NULL during the delay
+ * @timer: the delay, then the timeout
+ * @active: a fetch is in progress or delayed
  */
 struct jl_sync
 {
@@ -29,7 +32,7 @@
 {
   jl_timer_stop (sync->proxy->loop->timers, &sync->timer);
   if (sync->upstream != NULL)
-    jl_upstream_drop (sync->upstream);
+    jl_upstream_close (sync->upstream);
   sync->upstream = NULL;
   sync->active = false;
 }
@@ -38,7 +41,7 @@
 on_answer (void *context, struct jl_upstream *upstream)
 {
   struct jl_sync *sync = context;
-  const GByteArray *taken = jl_upstream_taken (upstream);
+  const GByteArray *taken = jl_upstream_buffered_body (upstream);
 
   if (jl_upstream_head (upstream)->status == 200)
     jl_proxy_install (sync->proxy, (const char *)taken->data, taken->len,
@@ -57,7 +60,7 @@
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .answer = on_answer,
+  .response = on_answer,
   .failed = on_failed,
 };
 
@@ -88,20 +91,20 @@
       end_sync (sync);
       return;
     }
-  head = g_string_new ("GET " JL_SYNC_PATH " HTTP/1.1\r\nHost: peer\r\n\r\n");
-  sync->upstream = jl_upstream_open (proxy->peers, sync->member->peer, false,
-                                     head, false, &upstream_ops, sync);
+  head = g_string_new ("GET " JL_SITE_PATH " HTTP/1.1\r\nHost: peer\r\n\r\n");
+  sync->upstream = jl_upstream_open (proxy->peer_pool, sync->member->peer,
+                                     false, head, false, &upstream_ops, sync);
   g_string_free (head, TRUE);
   if (sync->upstream != NULL)
     {
-      jl_upstream_want_whole (sync->upstream);
-      jl_upstream_body_end (sync->upstream, false);
+      jl_upstream_buffer_response (sync->upstream);
+      jl_upstream_end_body (sync->upstream, false);
     }
-  jl_loop_after (proxy->loop, timer, TIMEOUT_US, on_timeout, sync);
+  jl_loop_start_timer (proxy->loop, timer, FETCH_TIMEOUT_US, on_timeout, sync);
 }
 
 void
-jl_proxy_site_behind (struct jl_proxy *proxy, struct jl_member *member)
+jl_sync_fetch (struct jl_proxy *proxy, struct jl_member *member)
 {
   struct jl_sync *sync = proxy->sync;
 
@@ -111,18 +114,19 @@
       sync->proxy = proxy;
       proxy->sync = sync;
     }
-  /* Bytes between zones are dear: a near daemon goes before a far one. */
-  if (sync->active && sync->upstream == NULL && !member->far)
+  /* Traffic between zones is expensive: prefers a daemon of the own zone. */
+  if (sync->active && sync->upstream == NULL && !member->in_other_zone)
     sync->member = member;
   if (sync->active)
     return;
   sync->active = true;
   sync->member = member;
-  jl_loop_after (proxy->loop, &sync->timer, DELAY_US, on_delay, sync);
+  jl_loop_start_timer (proxy->loop, &sync->timer, FETCH_DELAY_US, on_delay,
+                       sync);
 }
 
 void
-jl_sync_answer (struct jl_proxy *proxy, struct jl_request *request)
+jl_sync_reply (struct jl_proxy *proxy, struct jl_request *request)
 {
   if (proxy->site == NULL)
     jl_request_reply (request, 404, "", "", 0);
--- a/tests/proxy/decode.c
+++ b/tests/proxy/decode.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of the platform's documents and of the settings.
+ * DOC: Tests of the decoders of the platform's documents and of the settings.
  */
 
 #include <criterion/criterion.h>
@@ -24,42 +24,45 @@
 
 Test (decode, a_configuration)
 {
-  struct jl_site *site = jl_platform_site (site_text, strlen (site_text), NULL);
+  struct jl_site *site
+      = jl_platform_decode_site (site_text, strlen (site_text), NULL);
   const struct jl_route *route;
 
   cr_assert_not_null (site);
   cr_assert_eq (site->version, 0x1c);
   cr_assert_eq (site->idle_timeout_us, 15 * JL_USEC_PER_SEC);
-  route = jl_site_find (site, "A.example:80", "/x/z?q=/x/y/");
+  route = jl_site_find_route (site, "A.example:80", "/x/z?q=/x/y/");
   cr_assert_str_eq (route->name, "r1");
   cr_assert_eq (route->split_count, 2);
   cr_assert_eq (route->split[1].weight, 10);
-  cr_assert_eq (route->repeat, JL_REPEAT_ANY);
-  route = jl_site_find (site, "a.example", "/x/y/1");
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_IDEMPOTENT);
+  route = jl_site_find_route (site, "a.example", "/x/y/1");
   cr_assert_str_eq (route->name, "r2");
-  cr_assert_eq (route->repeat, JL_REPEAT_NONE);
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_AT_MOST_ONCE);
   cr_assert_eq (route->rank, 0);
-  route = jl_site_find (site, "b.example", "/anything");
-  cr_assert_eq (route->repeat, JL_REPEAT_UPLOAD);
+  route = jl_site_find_route (site, "b.example", "/anything");
+  cr_assert_eq (route->retry_policy, JL_RETRY_POLICY_UPLOAD);
   cr_assert_eq (route->timeout_us, 1500 * JL_USEC_PER_MSEC);
-  cr_assert_null (jl_site_find (site, "a.example", "/other"));
-  cr_assert_null (jl_site_find (site, "c.example", "/x/"));
+  cr_assert_null (jl_site_find_route (site, "a.example", "/other"));
+  cr_assert_null (jl_site_find_route (site, "c.example", "/x/"));
   jl_site_drop (site);
 }
 
 Test (decode, a_configuration_that_is_cut_short_is_refused)
 {
   for (size_t size = 0; size < strlen (site_text); size++)
-    cr_assert_null (jl_platform_site (site_text, size, NULL), "%zu bytes",
-                    size);
+    cr_assert_null (jl_platform_decode_site (site_text, size, NULL),
+                    "%zu bytes", size);
 }
 
+/* Whether the decoder accepts a heartbeat; it must set an error otherwise. */
 static bool
-reads (const char *text)
+is_accepted (const char *text)
 {
   struct jl_heartbeat heartbeat;
   GError *error = NULL;
-  bool read = jl_platform_heartbeat (text, strlen (text), &heartbeat, &error);
+  bool read
+      = jl_platform_decode_heartbeat (text, strlen (text), &heartbeat, &error);
 
   cr_assert_eq (read, error == NULL);
   g_clear_error (&error);
@@ -68,22 +71,22 @@
 
 Test (decode, heartbeats)
 {
-  cr_assert (reads (
+  cr_assert (is_accepted (
       "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"zone\":\"z\","
       "\"version\":\"v1\",\"slots\":12,\"state\":\"ready\",\"coldLeftS\":0.5,"
       "\"sequence\":4,\"born\":1700000000000}"));
-  cr_assert_not (reads (""));
-  cr_assert_not (reads ("[]"));
-  cr_assert_not (reads ("{\"service\":7}"));
-  cr_assert_not (
-      reads ("{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
-             "\"state\":\"resting\",\"sequence\":4}"));
-  cr_assert_not (reads (
+  cr_assert_not (is_accepted (""));
+  cr_assert_not (is_accepted ("[]"));
+  cr_assert_not (is_accepted ("{\"service\":7}"));
+  cr_assert_not (is_accepted (
+      "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
+      "\"state\":\"resting\",\"sequence\":4}"));
+  cr_assert_not (is_accepted (
       "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":\"many\","
       "\"state\":\"ready\",\"sequence\":4}"));
-  cr_assert_not (
-      reads ("{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
-             "\"state\":\"ready\",\"sequence\":4,\"born\":1.5}"));
+  cr_assert_not (is_accepted (
+      "{\"service\":\"s\",\"address\":\"10.0.0.9:8080\",\"slots\":12,"
+      "\"state\":\"ready\",\"sequence\":4,\"born\":1.5}"));
 }
 
 Test (decode, settings)
--- a/tests/proxy/lane.c
+++ b/tests/proxy/lane.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Tests of the queue before the own target.
+ * DOC: Tests of the lane: the concurrency limit and the queue before the own
+ * target.
  */
 
 #include <criterion/criterion.h>
@@ -7,10 +8,10 @@
 #include "policy/lane.h"
 
 static struct jl_lane_item
-item (unsigned rank, uint64_t since_us, uint64_t expires_us)
+item (unsigned rank, uint64_t arrived_us, uint64_t expires_us)
 {
   struct jl_lane_item result
-      = { .rank = rank, .since_us = since_us, .expires_us = expires_us };
+      = { .rank = rank, .arrived_us = arrived_us, .expires_us = expires_us };
 
   return result;
 }
@@ -23,12 +24,12 @@
 
   jl_lane_init (&lane);
   lane.limit = 2;
-  cr_assert (jl_lane_arrive (&lane, &items[0]));
-  cr_assert (jl_lane_arrive (&lane, &items[1]));
-  cr_assert_not (jl_lane_arrive (&lane, &items[2]));
-  cr_assert_null (jl_lane_next (&lane));
-  jl_lane_done (&lane);
-  cr_assert_eq (jl_lane_next (&lane), &items[2]);
+  cr_assert (jl_lane_submit (&lane, &items[0]));
+  cr_assert (jl_lane_submit (&lane, &items[1]));
+  cr_assert_not (jl_lane_submit (&lane, &items[2]));
+  cr_assert_null (jl_lane_take_next (&lane));
+  jl_lane_finish (&lane);
+  cr_assert_eq (jl_lane_take_next (&lane), &items[2]);
   cr_assert_eq (lane.running, 2);
   cr_assert_eq (lane.waiting, 0);
 }
@@ -40,28 +41,30 @@
   struct jl_lane_item early = item (2, 1, 1000);
 
   jl_lane_init (&lane);
-  cr_assert_not (jl_lane_arrive (&lane, &early));
-  cr_assert_not (jl_lane_arrive (&lane, &late));
+  cr_assert_not (jl_lane_submit (&lane, &early));
+  cr_assert_not (jl_lane_submit (&lane, &late));
   lane.limit = 1;
-  cr_assert_eq (jl_lane_next (&lane), &late);
+  cr_assert_eq (jl_lane_take_next (&lane), &late);
 }
 
 Test (lane, hands_back_what_cannot_end_in_time)
 {
   struct jl_lane lane;
-  struct jl_lane_item brief = item (1, 0, 100);
-  struct jl_lane_item patient = item (1, 0, 1000);
+  struct jl_lane_item short_lived = item (1, 0, 100);
+  struct jl_lane_item long_lived = item (1, 0, 1000);
 
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &patient);
-  jl_lane_arrive (&lane, &brief);
-  cr_assert_null (jl_lane_expired (&lane, 50, 40));
-  cr_assert_eq (jl_lane_expired (&lane, 70, 40), &brief);
-  cr_assert_null (jl_lane_expired (&lane, 70, 40));
+  jl_lane_submit (&lane, &long_lived);
+  jl_lane_submit (&lane, &short_lived);
+  cr_assert_null (jl_lane_take_expired (&lane, 50, 40));
+  cr_assert_eq (jl_lane_take_expired (&lane, 70, 40), &short_lived);
+  cr_assert_null (jl_lane_take_expired (&lane, 70, 40));
   cr_assert_eq (lane.waiting, 1);
 }
 
-/* A cold target has just joined and gets all calls of its zone. */
+/* A target that has just joined, and is still slow, receives all calls of its
+ * zone. Requests that would wait too long are refused, so that another target
+ * can run them in time. */
 Test (lane, sends_on_what_would_spend_its_time_in_the_queue)
 {
   struct jl_lane lane;
@@ -71,11 +74,12 @@
   jl_lane_init (&lane);
   lane.limit = 93;
   lane.waiting = 300;
-  cr_assert_not (jl_lane_is_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
   lane.waiting = 400;
-  cr_assert (jl_lane_is_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
-  cr_assert_not (jl_lane_is_long (&lane, &urgent, 91 * JL_USEC_PER_MSEC));
-  cr_assert_not (jl_lane_is_long (&lane, &call, 0), "nothing has ended yet");
+  cr_assert (jl_lane_is_too_long (&lane, &call, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &urgent, 91 * JL_USEC_PER_MSEC));
+  cr_assert_not (jl_lane_is_too_long (&lane, &call, 0),
+                 "the hold time is not known yet");
 }
 
 Test (lane, a_request_behind_waiting_ones_does_not_overtake_them)
@@ -85,13 +89,14 @@
   struct jl_lane_item second = item (1, 0, 1000);
 
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &first);
+  jl_lane_submit (&lane, &first);
   lane.limit = 1;
-  cr_assert_not (jl_lane_arrive (&lane, &second));
-  cr_assert_eq (jl_lane_next (&lane), &first);
+  cr_assert_not (jl_lane_submit (&lane, &second));
+  cr_assert_eq (jl_lane_take_next (&lane), &first);
 }
 
-/* A cancellation among the look-ups of many listings. */
+/* Guards against a short request that waits behind many requests with longer
+ * latency goals, as a cancellation among listing queries would. */
 Test (lane, a_close_goal_does_not_wait_behind_distant_ones)
 {
   struct jl_lane lane;
@@ -101,8 +106,8 @@
   distant.due_us = 300;
   close.due_us = 155;
   jl_lane_init (&lane);
-  jl_lane_arrive (&lane, &distant);
-  jl_lane_arrive (&lane, &close);
+  jl_lane_submit (&lane, &distant);
+  jl_lane_submit (&lane, &close);
   lane.limit = 1;
-  cr_assert_eq (jl_lane_next (&lane), &close);
+  cr_assert_eq (jl_lane_take_next (&lane), &close);
 }
