--- a/include/jackdawladder/message.h
+++ b/include/jackdawladder/message.h
@@ -4,29 +4,30 @@
 /**
  * DOC: Control messages between daemons.
  *
- * Each is one datagram without an answer at the transport. It may be lost,
- * delayed, repeated or reordered.
+ * Each message is one datagram, which the transport does not acknowledge. It
+ * may be lost, delayed, duplicated or reordered.
  */
 
 #include "jackdawladder/base.h"
 
-/* Member updates in one message, for a datagram of at most 4 KB. */
+/* Most member updates in one message; keeps a datagram within 4 KB. */
 #define JL_MESSAGE_UPDATE_MAX 24
-/* Strikes in one message. */
+/* Most strikes in one message. */
 #define JL_MESSAGE_STRIKE_MAX 8
 
 /**
- * enum jl_message_type - what a control message asks or says
- * @JL_MESSAGE_PROBE: asks for an acknowledgement of @sequence
- * @JL_MESSAGE_ACK: answers a probe
+ * enum jl_message_type - purpose of a control message
+ * @JL_MESSAGE_PROBE: requests an acknowledgement of @sequence
+ * @JL_MESSAGE_ACK: acknowledges a probe
  * @JL_MESSAGE_PROBE_RELAY: asks to probe @subject on behalf of the sender
- * @JL_MESSAGE_RELAY_ACK: @subject has answered the relayed probe
- * @JL_MESSAGE_JOIN: asks for the whole member list; with a digest of the own
- *                   list as @sequence, for it only when it differs
- * @JL_MESSAGE_SYNC: a part of the member list, or news
- * @JL_MESSAGE_CANCEL: asks to cancel @attempt
- * @JL_MESSAGE_CANCELLED: @attempt did not start and will not
- * @JL_MESSAGE_CANCEL_LATE: @attempt has started or ended
+ * @JL_MESSAGE_RELAY_ACK: @subject has acknowledged the relayed probe
+ * @JL_MESSAGE_JOIN: requests the full member list; with a digest of the
+ *                   sender's list as @sequence, requests it only if the lists
+ *                   differ
+ * @JL_MESSAGE_SYNC: carries a part of the member list, or member updates
+ * @JL_MESSAGE_CANCEL: requests the cancellation of @attempt
+ * @JL_MESSAGE_CANCELLED: @attempt has not started and will not start
+ * @JL_MESSAGE_CANCEL_LATE: too late to cancel: @attempt has started or ended
  */
 enum jl_message_type
 {
@@ -43,13 +44,14 @@
 };
 
 /**
- * enum jl_member_state - how a member is seen
- * @JL_MEMBER_ALIVE: takes work
- * @JL_MEMBER_SUSPECT: did not answer probes; takes no new work
- * @JL_MEMBER_DEAD: not refuted in time
- * @JL_MEMBER_LEFT: said that it leaves
+ * enum jl_member_state - state of a member in the member list
+ * @JL_MEMBER_ALIVE: may be given work
+ * @JL_MEMBER_SUSPECT: did not answer probes; is given no new work
+ * @JL_MEMBER_DEAD: did not refute the suspicion in time
+ * @JL_MEMBER_LEFT: announced that it leaves
  *
- * At equal identity and incarnation the higher value wins.
+ * Of two updates with equal identity and incarnation, the one with the higher
+ * value takes precedence.
  */
 enum jl_member_state
 {
@@ -61,16 +63,17 @@
 };
 
 /**
- * struct jl_member_info - what a daemon says of itself, or of another
- * @identity: whose life this speaks of
- * @incarnation: raised by the member itself to refute a suspicion
+ * struct jl_member_info - information on a daemon, from itself or another
+ * @identity: the member and its epoch
+ * @incarnation: raised by the member itself when its information changes and to
+ *               refute a suspicion
  * @state: see enum jl_member_state
- * @peer: where it takes calls of other daemons (HTTP)
- * @zone: its availability zone by name
+ * @peer: HTTP endpoint for calls from other daemons
+ * @zone: name of its availability zone
  * @service: the service of its target; empty while none is announced
- * @slots: requests that its target runs at once
- * @connections: connections that its target takes
- * @target_up: whether its target takes work now
+ * @slots: number of requests that its target runs concurrently
+ * @connections: number of connections that its target accepts
+ * @target_up: whether its target takes new work
  */
 struct jl_member_info
 {
@@ -86,10 +89,10 @@
 };
 
 /**
- * struct jl_strike - a request was in progress when a target died
+ * struct jl_strike - records that a request was in progress when a target died
  * @digest: digest of the request's content
  * @target: member whose target died
- * @age_ms: time since then
+ * @age_ms: time since the target died
  */
 struct jl_strike
 {
@@ -100,14 +103,22 @@
 
 /**
  * struct jl_message - one control message
- * @from: the sending life
- * @to: the life it is meant for; epoch 0 when that is not known
- * @sequence: pairs probes with acknowledgements
- * @subject: member that a relayed probe is about; in a probe on behalf of
- *           another, and in its acknowledgement, who asked for it
- * @attempt: sending that a cancellation is about
- * @config_version: highest version installed at the sender, 0 for none
- * @config_digest: digest of that document
+ * @type: purpose of the message
+ * @from: member and epoch of the sender
+ * @to: member and epoch of the receiver; epoch 0 when that is not known
+ * @sequence: matches acknowledgements to probes; in a join request, a digest
+ *            of the member list or 0
+ * @subject: in a relay request and its acknowledgement, the probed member; in a
+ *           probe on behalf of another member, and in the acknowledgement of
+ *           such a probe, the member that requested it; 0 for none
+ * @attempt: attempt that a cancellation refers to
+ * @config_version: highest configuration version installed at the sender, 0 for
+ *                  none
+ * @config_digest: digest of that configuration document
+ * @update_count: number of entries in @updates
+ * @updates: member updates
+ * @strike_count: number of entries in @strikes
+ * @strikes: strikes against requests
  */
 struct jl_message
 {
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -135,7 +135,7 @@
   if (core->config != NULL)
     jl_config_drop (core->config);
   core->config = jl_config_keep (config);
-  jl_members_config (core);
+  jl_members_config_changed (core);
   jl_guard_config (core);
   jl_graph_config (core);
   jl_emit (core, JL_EFFECT_CONFIG)->config = core->config;
@@ -146,7 +146,7 @@
 handle_message (struct jl_core *core, const struct jl_message *message)
 {
   core->counts.messages_received++;
-  jl_members_message (core, message);
+  jl_members_handle_message (core, message);
   jl_poison_message (core, message);
   switch (message->type)
     {
@@ -204,7 +204,7 @@
       handle_message (core, event->message);
       break;
     case JL_EVENT_SEED:
-      jl_members_seed (core, event->seed.control);
+      jl_members_add_seed (core, event->seed.control);
       break;
     case JL_EVENT_TYPE_COUNT:
       break;
--- a/source/core/member-fetch.c
+++ b/source/core/member-fetch.c
@@ -1,16 +1,16 @@
 /**
- * DOC: Gets newer configurations from peers, one request at a time.
+ * DOC: Fetches newer configurations from peers, one request at a time.
  */
 
 #include "member-impl.h"
 
-/* A peer that has not delivered by then is given up for another one. */
+/* A peer that has not delivered by then is abandoned in favor of another. */
 #define FETCH_RETRY_US (1 * JL_USEC_PER_SEC)
 
-static void fetch_again (void *context, struct jl_timer *timer);
+static void retry_fetch (void *context, struct jl_timer *timer);
 
 static uint64_t
-version_in_force (const struct jl_core *core)
+installed_version (const struct jl_core *core)
 {
   return core->config == NULL ? 0 : core->config->version;
 }
@@ -25,18 +25,20 @@
   fetch->peer = member->info.peer;
   fetch->version = member->config_version;
   members->fetch_member = member->info.identity.member;
-  jl_timer_start (core->timers, &members->fetch, core->now_us + FETCH_RETRY_US,
-                  fetch_again, core);
+  jl_timer_start (core->timers, &members->fetch_timeout,
+                  core->now_us + FETCH_RETRY_US, retry_fetch, core);
 }
 
 /*
- * A member with a newer configuration, another one than the last if there is
- * one; NULL when nobody has a newer one.
+ * Picks an alive member with a newer configuration. The peer of the last
+ * request is picked only if no other member has one.
+ *
+ * Return: the member, or NULL if no member has a newer configuration.
  */
 static struct jl_member *
 choose_peer (struct jl_core *core)
 {
-  GPtrArray *order = core->members->order;
+  GPtrArray *order = core->members->probe_order;
   struct jl_member *last = NULL;
   guint start;
 
@@ -49,7 +51,7 @@
           = g_ptr_array_index (order, (start + i) % order->len);
 
       if (member->info.state != JL_MEMBER_ALIVE
-          || member->config_version <= version_in_force (core))
+          || member->config_version <= installed_version (core))
         continue;
       if (member->info.identity.member != core->members->fetch_member)
         return member;
@@ -59,7 +61,7 @@
 }
 
 static void
-fetch_again (void *context, struct jl_timer *timer G_GNUC_UNUSED)
+retry_fetch (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
   struct jl_core *core = context;
   struct jl_member *member = choose_peer (core);
@@ -69,18 +71,19 @@
 }
 
 void
-jl_fetch_heard (struct jl_core *core,
-                struct jl_member *member,
-                uint64_t version)
+jl_fetch_version_reported (struct jl_core *core,
+                           struct jl_member *member,
+                           uint64_t version)
 {
   member->config_version = MAX (member->config_version, version);
-  if (version > version_in_force (core) && core->members->fetch.index == 0)
+  if (version > installed_version (core)
+      && core->members->fetch_timeout.index == 0)
     fetch_from (core, member);
 }
 
 void
-jl_fetch_installed (struct jl_core *core)
+jl_fetch_config_installed (struct jl_core *core)
 {
-  jl_timer_stop (core->timers, &core->members->fetch);
-  fetch_again (core, &core->members->fetch);
+  jl_timer_stop (core->timers, &core->members->fetch_timeout);
+  retry_fetch (core, &core->members->fetch_timeout);
 }
--- a/source/core/member-impl.h
+++ b/source/core/member-impl.h
@@ -2,31 +2,48 @@
 #define JACKDAWLADDER_MEMBER_IMPL_H
 
 /**
- * DOC: What the parts of membership share with each other.
+ * DOC: Interfaces between the source files of the membership module.
  */
 
 #include "member.h"
 
-/* Seeds kept at most; any one of them that answers is enough. */
+/* Most seeds kept; an answer from a single one is enough to join. */
 #define JL_MEMBER_SEED_MAX 64
-/* Updates in a probe or acknowledgement. */
+/* Most queued updates that a probe or acknowledgement carries. */
 #define JL_MEMBER_PIGGYBACK_MAX 8
-/* A timer that fires this late shows that this process was not running. */
-#define JL_MEMBER_LATE_US (250 * JL_USEC_PER_MSEC)
+/* A timer that fires this late shows that the process was paused. */
+#define JL_MEMBER_TIMER_LATE_US (250 * JL_USEC_PER_MSEC)
 
 /**
  * struct jl_members - the member list and the timers that keep it
- * @random: of its own, so that other decisions do not hang on probes
- * @order: all members but the own one, in the order of probing
- * @next: place in @order
- * @count: members by state, without hearsay
- * @fresh_news: members that changed lately and whose gossip_left is not 0
- * @old_news: those that changed before; sent when there is room
- * @news_count: members in both lists
- * @pushed_us: time of the last push
- * @show_self: the message in hand takes this daemon for something else
- * @asked_us: when another's whole list was last asked for; 0 for never
- * @fetch_member: peer that the configuration was last asked of
+ * @random: generator used by membership only, so that other decisions do not
+ *          depend on the number of probes
+ * @all: all members, this daemon included
+ * @by_service: members of each configured service
+ * @by_id: members by identifier
+ * @probe_order: all members but this daemon, in probing order
+ * @next_probe_index: index in @probe_order of the next member to probe
+ * @self: entry of this daemon
+ * @count: number of members by state, without never_alive entries
+ * @recent_updates: members with gossip_sends_left above 0 that changed recently
+ * @older_updates: such members that changed earlier; sent when there is room
+ * @queued_update_count: members in both lists
+ * @last_push_us: time of the last push; 0 for never
+ * @last_probe_sequence: sequence of the last probe sent
+ * @send_self_info: the message being handled showed that its sender has
+ *                  outdated information about this daemon
+ * @list_requested_us: when another member's full list was last requested
+ *                     because the lists differed; 0 for never
+ * @next_seed: count of seeds tried; its remainder selects the next seed
+ * @seeds: member identifiers of the seeds
+ * @fetch_member: peer that the configuration was last requested from
+ * @probe: next probe of a member that is alive or suspect
+ * @dead_probe: next probe of a dead member
+ * @join: next join requests to seeds
+ * @compare: next comparison of the list with another member's
+ * @push: next push of pending updates
+ * @fetch_timeout: timeout of the configuration fetch in progress
+ * @expiry: next removal of expired members
  */
 struct jl_members
 {
@@ -34,52 +51,54 @@
   struct cds_list_head all;
   struct cds_list_head by_service[JL_SERVICE_MAX];
   GHashTable *by_id;
-  GPtrArray *order;
-  guint next;
+  GPtrArray *probe_order;
+  guint next_probe_index;
   struct jl_member *self;
   uint32_t count[JL_MEMBER_STATE_COUNT];
-  struct cds_list_head fresh_news;
-  struct cds_list_head old_news;
-  uint32_t news_count;
-  uint64_t pushed_us;
-  uint64_t next_sequence;
-  bool show_self;
-  uint64_t asked_us;
+  struct cds_list_head recent_updates;
+  struct cds_list_head older_updates;
+  uint32_t queued_update_count;
+  uint64_t last_push_us;
+  uint64_t last_probe_sequence;
+  bool send_self_info;
+  uint64_t list_requested_us;
   uint32_t seed_count;
   uint32_t next_seed;
   uint64_t seeds[JL_MEMBER_SEED_MAX];
   uint64_t fetch_member;
   struct jl_timer probe;
-  struct jl_timer slow_probe;
+  struct jl_timer dead_probe;
   struct jl_timer join;
-  struct jl_timer sync;
+  struct jl_timer compare;
   struct jl_timer push;
-  struct jl_timer fetch;
-  struct jl_timer sweep;
+  struct jl_timer fetch_timeout;
+  struct jl_timer expiry;
 };
 
 /**
- * jl_members_merge - takes over an update, if it is newer than what is known
+ * jl_members_merge - applies an update if it is newer than the known
+ * information; refutes a wrong update about this daemon
  */
 void jl_members_merge (struct jl_core *core, const struct jl_member_info *info);
 
 /**
- * jl_members_set_state - changes how a member is seen, and spreads it
+ * jl_members_set_state - changes the state of a member and queues the update
+ * for gossip
  */
 void jl_members_set_state (struct jl_core *core,
                            struct jl_member *member,
                            enum jl_member_state state);
 
 /**
- * jl_members_random - a number from 0 to @bound - 1
+ * jl_members_random - returns a random number from 0 to @bound - 1
  */
 uint32_t jl_members_random (struct jl_members *members, uint32_t bound);
 
 /**
- * jl_members_pick - draws different alive members, never the own one
- * @except: identifier that is not drawn, 0 for none
+ * jl_members_pick - picks distinct random alive members other than this daemon
+ * @except: identifier of a member that is not picked, 0 for none
  *
- * Return: how many were drawn, at most @max.
+ * Return: the number of members picked, at most @max.
  */
 uint32_t jl_members_pick (struct jl_core *core,
                           uint64_t except,
@@ -87,89 +106,115 @@
                           uint32_t max);
 
 /**
- * jl_members_was_late - whether a timer that fires now fires far too late
+ * jl_members_timer_is_late - whether a timer that fires now is so late that the
+ * process must have been paused
+ *
+ * Schedules an early list comparison in that case, since updates may have been
+ * missed.
  */
-bool jl_members_was_late (struct jl_core *core, const struct jl_timer *timer);
+bool jl_members_timer_is_late (struct jl_core *core,
+                               const struct jl_timer *timer);
 
 /**
- * jl_gossip_message - emits a message to a member
+ * jl_gossip_emit - emits a message to a member
+ *
+ * The message holds the identity of this daemon, the version and digest of the
+ * installed configuration and strikes to spread. A member that is believed to
+ * be suspect or dead is sent that belief, so that it can refute it.
  *
- * It says who sends it, which configuration is in force, and, to one that is
- * held for suspect or dead, just that.
+ * Return: the message, to be completed by the caller.
  */
-struct jl_message *jl_gossip_message (struct jl_core *core,
-                                      enum jl_message_type type,
-                                      uint64_t to);
+struct jl_message *
+jl_gossip_emit (struct jl_core *core, enum jl_message_type type, uint64_t to);
 
 /**
- * jl_gossip_add - adds what is known of @member, unless it is in already
+ * jl_gossip_add - adds the information on @member, unless @message already
+ * holds an update of it or is full
  */
 void jl_gossip_add (struct jl_message *message, const struct jl_member *member);
 
 /**
- * jl_gossip_fill - adds news, at most JL_MEMBER_PIGGYBACK_MAX
+ * jl_gossip_add_queued - adds queued updates, at most
+ * JL_MEMBER_PIGGYBACK_MAX
  */
-void jl_gossip_fill (struct jl_core *core, struct jl_message *message);
+void jl_gossip_add_queued (struct jl_core *core, struct jl_message *message);
 
 /**
- * jl_gossip_queue - @member has changed; to be pushed and gossiped
+ * jl_gossip_queue - queues the changed @member to be pushed and gossiped
  */
 void jl_gossip_queue (struct jl_core *core, struct jl_member *member);
 
 /**
- * jl_gossip_forget - @member is about to be freed
+ * jl_gossip_remove - removes @member, which is about to be freed, from the
+ * queued updates
  */
-void jl_gossip_forget (struct jl_core *core, struct jl_member *member);
+void jl_gossip_remove (struct jl_core *core, struct jl_member *member);
 
 /**
- * jl_gossip_push_now - pushes what is due, without waiting for more
+ * jl_gossip_push_now - pushes the pending updates without waiting for more
  */
 void jl_gossip_push_now (struct jl_core *core);
 
 /**
- * jl_gossip_push_version - tells some members of a new configuration
+ * jl_gossip_push_version - announces the installed configuration version to
+ * a few members
  */
 void jl_gossip_push_version (struct jl_core *core);
 
+/**
+ * jl_probe_start - starts the timers that probe members
+ */
 void jl_probe_start (struct jl_core *core, struct jl_members *members);
 
 /**
- * jl_probe_changed - a member's state or life has changed
+ * jl_probe_member_changed - starts or stops the timers of @member after its
+ * state or epoch has changed
  */
-void jl_probe_changed (struct jl_core *core, struct jl_member *member);
+void jl_probe_member_changed (struct jl_core *core, struct jl_member *member);
 
 /**
- * jl_probe_message - handles probes, acknowledgements and relays
+ * jl_probe_handle_message - handles probes, relayed probes and
+ * acknowledgements
  */
-void jl_probe_message (struct jl_core *core, const struct jl_message *message);
+void jl_probe_handle_message (struct jl_core *core,
+                              const struct jl_message *message);
 
 /**
- * jl_probe_introduce - asks an unknown life that sent a message who it is
+ * jl_probe_unknown_sender - probes the unknown sender of a message, so that
+ * it sends its member information
+ * @member: identifier of a sender that is unknown or known with another epoch
  */
-void jl_probe_introduce (struct jl_core *core, uint64_t member);
+void jl_probe_unknown_sender (struct jl_core *core, uint64_t member);
 
+/**
+ * jl_join_start - starts the timers for join requests and list comparisons
+ */
 void jl_join_start (struct jl_core *core, struct jl_members *members);
 
 /**
- * jl_join_message - handles a request for the list
+ * jl_join_handle_request - handles a request for the member list
  */
-void jl_join_message (struct jl_core *core, const struct jl_message *message);
+void jl_join_handle_request (struct jl_core *core,
+                             const struct jl_message *message);
 
 /**
- * jl_join_compare_soon - news may have been missed; compares lists earlier
+ * jl_join_schedule_compare - schedules an early list comparison, because
+ * updates may have been missed
  */
-void jl_join_compare_soon (struct jl_core *core);
+void jl_join_schedule_compare (struct jl_core *core);
 
 /**
- * jl_fetch_heard - @member has said which configuration it has
+ * jl_fetch_version_reported - records the configuration version that @member
+ * reported, and fetches it if it is newer than the installed one
  */
-void jl_fetch_heard (struct jl_core *core,
-                     struct jl_member *member,
-                     uint64_t version);
+void jl_fetch_version_reported (struct jl_core *core,
+                                struct jl_member *member,
+                                uint64_t version);
 
 /**
- * jl_fetch_installed - another configuration is in force here
+ * jl_fetch_config_installed - ends the fetch in progress after another
+ * configuration was installed, and fetches the next if a peer has a newer one
  */
-void jl_fetch_installed (struct jl_core *core);
+void jl_fetch_config_installed (struct jl_core *core);
 
 #endif
--- a/source/core/member-join.c
+++ b/source/core/member-join.c
@@ -1,41 +1,45 @@
 /**
- * DOC: Gets the whole member list, and compares it with others' now and then.
+ * DOC: Requests the full member list, and periodically compares it with the
+ * lists of other members.
  */
 
 #include "member-impl.h"
 
 #include <xxhash.h>
 
-/* How often a seed is asked while no other member is known, and after. */
+/* Interval of join requests while no other member is alive, and afterwards. */
 #define JOIN_INTERVAL_US (500 * JL_USEC_PER_MSEC)
 #define JOIN_SLOW_INTERVAL_US (5 * JL_USEC_PER_SEC)
-/* Seeds asked at a time. */
-#define JOIN_COUNT 3
-/* How often the list is compared with that of a member drawn at random. */
+/* Most seeds that a join request is sent to at a time. */
+#define JOIN_SEEDS_MAX 3
+/* Interval of list comparisons with a random member, plus up to the jitter. */
 #define COMPARE_INTERVAL_US (10 * JL_USEC_PER_SEC)
 #define COMPARE_JITTER_US (2 * JL_USEC_PER_SEC)
-/* The same when news may have been missed. */
-#define COMPARE_SOON_US (1 * JL_USEC_PER_SEC)
-#define COMPARE_FIRST_US (2 * JL_USEC_PER_SEC)
-/* Least time between two requests for the whole list of another. */
-#define ASK_INTERVAL_US (2 * JL_USEC_PER_SEC)
-
+/* Longest delay of a comparison when updates may have been missed. */
+#define COMPARE_SOON_DELAY_MAX_US (1 * JL_USEC_PER_SEC)
+/* Delay of the first comparison after the start. */
+#define COMPARE_START_DELAY_US (2 * JL_USEC_PER_SEC)
+/* Minimum time between two requests for the full list of another member. */
+#define LIST_REQUEST_INTERVAL_US (2 * JL_USEC_PER_SEC)
+
+/* Requests the full list; if @digest is not 0, only if the lists differ. */
 static void
 send_join (struct jl_core *core, uint64_t to, uint64_t digest)
 {
-  struct jl_message *message = jl_gossip_message (core, JL_MESSAGE_JOIN, to);
+  struct jl_message *message = jl_gossip_emit (core, JL_MESSAGE_JOIN, to);
 
   message->sequence = digest;
   jl_gossip_add (message, core->members->self);
 }
 
-/* Whether a seed needs no asking: probes take care of it. */
+/* Whether a seed is already a known member, which needs no join request. */
 static bool
 is_known (struct jl_core *core, uint64_t seed)
 {
   struct jl_member *member = jl_members_find (core, seed);
 
-  return member != NULL && !member->hearsay
+  /* Alive, suspect and dead members are all probed. */
+  return member != NULL && !member->never_alive
          && member->info.state != JL_MEMBER_LEFT;
 }
 
@@ -47,7 +51,7 @@
   uint32_t asked = 0;
   bool alone = members->count[JL_MEMBER_ALIVE] <= 1;
 
-  for (uint32_t i = 0; i < members->seed_count && asked < JOIN_COUNT; i++)
+  for (uint32_t i = 0; i < members->seed_count && asked < JOIN_SEEDS_MAX; i++)
     {
       uint64_t seed
           = members->seeds[members->next_seed++ % members->seed_count];
@@ -63,9 +67,12 @@
                   join_seeds, core);
 }
 
-/* Makes room for a new seed where one is of no use, else at random. */
+/*
+ * Returns the index for a new seed. When all slots are in use, it replaces a
+ * seed that is already a member, or else a random one.
+ */
 static uint32_t
-seed_place (struct jl_core *core)
+allocate_seed_slot (struct jl_core *core)
 {
   struct jl_members *members = core->members;
 
@@ -78,7 +85,7 @@
 }
 
 void
-jl_members_seed (struct jl_core *core, struct jl_endpoint control)
+jl_members_add_seed (struct jl_core *core, struct jl_endpoint control)
 {
   struct jl_members *members = core->members;
   uint64_t id = jl_member_id (control);
@@ -88,13 +95,16 @@
   for (uint32_t i = 0; i < members->seed_count; i++)
     if (members->seeds[i] == id)
       return;
-  members->seeds[seed_place (core)] = id;
+  members->seeds[allocate_seed_slot (core)] = id;
   if (members->count[JL_MEMBER_ALIVE] <= 1)
     jl_timer_start (core->timers, &members->join, core->now_us, join_seeds,
                     core);
 }
 
-/* The same for two lists with the same members in the same lives. */
+/*
+ * Returns a digest of the alive and suspect members with their epochs and
+ * incarnations. It does not depend on the order of the list.
+ */
 static uint64_t
 list_digest (struct jl_core *core)
 {
@@ -114,7 +124,7 @@
 }
 
 static void
-compare (void *context, struct jl_timer *timer)
+compare_lists (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_member *member;
@@ -124,20 +134,20 @@
   jl_timer_start (core->timers, timer,
                   core->now_us + COMPARE_INTERVAL_US
                       + jl_members_random (core->members, COMPARE_JITTER_US),
-                  compare, core);
+                  compare_lists, core);
 }
 
 void
 jl_join_start (struct jl_core *core, struct jl_members *members)
 {
   jl_timer_start (core->timers, &members->join, core->now_us, join_seeds, core);
-  jl_timer_start (core->timers, &members->sync,
-                  core->now_us + COMPARE_FIRST_US
+  jl_timer_start (core->timers, &members->compare,
+                  core->now_us + COMPARE_START_DELAY_US
                       + jl_members_random (members, COMPARE_JITTER_US),
-                  compare, core);
+                  compare_lists, core);
 }
 
-/* Sends the whole list in parts. */
+/* Sends the full member list in as many messages as it takes. */
 static void
 send_list (struct jl_core *core, uint64_t to)
 {
@@ -146,48 +156,50 @@
 
   cds_list_for_each_entry (member, &core->members->all, all)
   {
-    if (member->hearsay)
+    if (member->never_alive)
       continue;
     if (message == NULL)
-      message = jl_gossip_message (core, JL_MESSAGE_SYNC, to);
+      message = jl_gossip_emit (core, JL_MESSAGE_SYNC, to);
     jl_gossip_add (message, member);
     if (message->update_count == JL_MESSAGE_UPDATE_MAX)
       message = NULL;
   }
 }
 
-/* Asks for the list of one whose list differs, but not too often. */
+/* Requests the list of a member whose list differs, at a limited rate. */
 static void
-ask_back (struct jl_core *core, uint64_t member)
+request_list (struct jl_core *core, uint64_t member)
 {
   struct jl_members *members = core->members;
 
-  if (members->asked_us != 0
-      && core->now_us < members->asked_us + ASK_INTERVAL_US)
+  if (members->list_requested_us != 0
+      && core->now_us < members->list_requested_us + LIST_REQUEST_INTERVAL_US)
     return;
-  members->asked_us = core->now_us;
+  members->list_requested_us = core->now_us;
   send_join (core, member, 0);
 }
 
 void
-jl_join_message (struct jl_core *core, const struct jl_message *message)
+jl_join_handle_request (struct jl_core *core, const struct jl_message *message)
 {
   if (message->sequence != 0 && message->sequence == list_digest (core))
     return;
   send_list (core, message->from.member);
   if (message->sequence != 0)
-    ask_back (core, message->from.member);
+    request_list (core, message->from.member);
 }
 
 void
-jl_join_compare_soon (struct jl_core *core)
+jl_join_schedule_compare (struct jl_core *core)
 {
-  struct jl_timer *timer = &core->members->sync;
+  struct jl_timer *timer = &core->members->compare;
 
-  if (timer->index != 0 && timer->due_us <= core->now_us + COMPARE_SOON_US)
+  if (timer->index != 0
+      && timer->due_us <= core->now_us + COMPARE_SOON_DELAY_MAX_US)
     return;
-  jl_timer_start (core->timers, timer,
-                  core->now_us + COMPARE_SOON_US / 2
-                      + jl_members_random (core->members, COMPARE_SOON_US / 2),
-                  compare, core);
+  jl_timer_start (
+      core->timers, timer,
+      core->now_us + COMPARE_SOON_DELAY_MAX_US / 2
+          + jl_members_random (core->members, COMPARE_SOON_DELAY_MAX_US / 2),
+      compare_lists, core);
 }
--- a/source/core/member-probe.c
+++ b/source/core/member-probe.c
@@ -1,74 +1,81 @@
 /**
- * DOC: Finds out which members are gone.
+ * DOC: Failure detection by probes.
  *
- * Several members are probed in each period, in a random order that every
- * member comes up in once. One that does not answer is probed through others,
- * then suspected, and taken for dead unless it refutes that. Whoever is held
- * for suspect or dead is told so by the probe itself.
+ * Several members are probed in each period, in a random order in which every
+ * member occurs once. A member that does not answer is probed through other
+ * members, then suspected, and declared dead unless it refutes the suspicion.
+ * A probe tells a suspect or dead member that it is believed to be so.
  */
 
 #include "member-impl.h"
 
-#define PERIOD_US (500 * JL_USEC_PER_MSEC)
-/* Probes in a period: a member that is gone is soon probed by someone. */
+/* Time of a probe including its relays; interval of probes of dead members. */
+#define PROBE_PERIOD_US (500 * JL_USEC_PER_MSEC)
+/*
+ * Members probed in a period. With several per daemon, a member that has failed
+ * is soon probed by some daemon.
+ */
 #define PROBES_PER_PERIOD 4
-#define DIRECT_TIMEOUT_US (200 * JL_USEC_PER_MSEC)
-#define RELAY_COUNT 3
-#define SUSPICION_US (4 * JL_USEC_PER_SEC)
-/* Suspicion left to run after this process was not running. */
-#define LATE_SUSPICION_US (1 * JL_USEC_PER_SEC)
+/* A probe without an answer is relayed by other members after this time. */
+#define DIRECT_PROBE_TIMEOUT_US (200 * JL_USEC_PER_MSEC)
+/* Most members that are asked to relay a probe. */
+#define RELAYS_PER_PROBE 3
+/* A suspect member is declared dead after this time. */
+#define SUSPICION_TIMEOUT_US (4 * JL_USEC_PER_SEC)
+/* Time that a suspect still gets to refute after this process was paused. */
+#define PAUSED_SUSPICION_US (1 * JL_USEC_PER_SEC)
 
 static void probe_expired (void *context, struct jl_timer *timer);
 
 static void
 send_probe (struct jl_core *core, struct jl_member *member)
 {
-  struct jl_message *message = jl_gossip_message (core, JL_MESSAGE_PROBE,
-                                                  member->info.identity.member);
+  struct jl_message *message
+      = jl_gossip_emit (core, JL_MESSAGE_PROBE, member->info.identity.member);
 
-  member->probe_sequence = ++core->members->next_sequence;
+  member->probe_sequence = ++core->members->last_probe_sequence;
   member->probe_relayed = false;
   message->sequence = member->probe_sequence;
-  jl_gossip_fill (core, message);
-  jl_timer_start (core->timers, &member->probe,
-                  core->now_us + DIRECT_TIMEOUT_US, probe_expired, core);
+  jl_gossip_add_queued (core, message);
+  jl_timer_start (core->timers, &member->probe_timeout,
+                  core->now_us + DIRECT_PROBE_TIMEOUT_US, probe_expired, core);
 }
 
 static void
 end_probe (struct jl_core *core, struct jl_member *member)
 {
   member->probe_sequence = 0;
-  jl_timer_stop (core->timers, &member->probe);
+  jl_timer_stop (core->timers, &member->probe_timeout);
 }
 
-/* Asks others to probe @member too. */
+/* Asks other members to probe @member too. */
 static void
 send_relays (struct jl_core *core, struct jl_member *member)
 {
-  struct jl_member *relays[RELAY_COUNT];
+  struct jl_member *relays[RELAYS_PER_PROBE];
   uint64_t id = member->info.identity.member;
-  uint32_t count = jl_members_pick (core, id, relays, RELAY_COUNT);
+  uint32_t count = jl_members_pick (core, id, relays, RELAYS_PER_PROBE);
 
   for (uint32_t i = 0; i < count; i++)
     {
-      struct jl_message *message = jl_gossip_message (
+      struct jl_message *message = jl_gossip_emit (
           core, JL_MESSAGE_PROBE_RELAY, relays[i]->info.identity.member);
 
       message->sequence = member->probe_sequence;
       message->subject = id;
-      jl_gossip_fill (core, message);
+      jl_gossip_add_queued (core, message);
     }
   member->probe_relayed = true;
-  jl_timer_start (core->timers, &member->probe,
-                  core->now_us + PERIOD_US - DIRECT_TIMEOUT_US, probe_expired,
-                  core);
+  jl_timer_start (core->timers, &member->probe_timeout,
+                  core->now_us + PROBE_PERIOD_US - DIRECT_PROBE_TIMEOUT_US,
+                  probe_expired, core);
 }
 
 static void
 suspect (struct jl_core *core, struct jl_member *member)
 {
   jl_members_set_state (core, member, JL_MEMBER_SUSPECT);
-  member->suspected_here = true;
+  member->suspected_locally = true;
   send_probe (core, member);
 }
 
@@ -76,19 +83,20 @@
 probe_expired (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
-  struct jl_member *member = caa_container_of (timer, struct jl_member, probe);
+  struct jl_member *member
+      = caa_container_of (timer, struct jl_member, probe_timeout);
 
-  if (jl_members_was_late (core, timer))
+  if (jl_members_timer_is_late (core, timer))
     {
-      /* The answer may wait in the socket. */
+      /* The acknowledgement may still be in the socket buffer. */
       send_probe (core, member);
       return;
     }
   /*
-   * Whoever was cut off alone must tell each of its suspects directly, since
-   * nobody heard its news.
+   * A daemon that was partitioned from all others must tell each of its
+   * suspects directly, since its gossip reached no other member.
    */
-  if (member->info.state == JL_MEMBER_SUSPECT && member->suspected_here)
+  if (member->info.state == JL_MEMBER_SUSPECT && member->suspected_locally)
     send_probe (core, member);
   else if (member->info.state != JL_MEMBER_ALIVE)
     member->probe_sequence = 0;
@@ -103,23 +111,24 @@
 {
   struct jl_core *core = context;
   struct jl_member *member
-      = caa_container_of (timer, struct jl_member, suspicion);
+      = caa_container_of (timer, struct jl_member, suspicion_timeout);
 
-  if (jl_members_was_late (core, timer))
-    jl_timer_start (core->timers, timer, core->now_us + LATE_SUSPICION_US,
+  if (jl_members_timer_is_late (core, timer))
+    jl_timer_start (core->timers, timer, core->now_us + PAUSED_SUSPICION_US,
                     suspicion_expired, core);
   else
     jl_members_set_state (core, member, JL_MEMBER_DEAD);
 }
 
 void
-jl_probe_changed (struct jl_core *core, struct jl_member *member)
+jl_probe_member_changed (struct jl_core *core, struct jl_member *member)
 {
   if (member->info.state == JL_MEMBER_SUSPECT)
-    jl_timer_start (core->timers, &member->suspicion,
-                    core->now_us + SUSPICION_US, suspicion_expired, core);
+    jl_timer_start (core->timers, &member->suspicion_timeout,
+                    core->now_us + SUSPICION_TIMEOUT_US, suspicion_expired,
+                    core);
   else
-    jl_timer_stop (core->timers, &member->suspicion);
+    jl_timer_stop (core->timers, &member->suspicion_timeout);
   if (member->info.state == JL_MEMBER_LEFT)
     end_probe (core, member);
 }
@@ -137,24 +146,25 @@
     }
 }
 
+/* Returns the next member in probing order; shuffles the order at its end. */
 static struct jl_member *
 next_in_order (struct jl_core *core)
 {
   struct jl_members *members = core->members;
 
-  if (members->next >= members->order->len)
+  if (members->next_probe_index >= members->probe_order->len)
     {
-      shuffle (core, members->order);
-      members->next = 0;
+      shuffle (core, members->probe_order);
+      members->next_probe_index = 0;
     }
-  return g_ptr_array_index (members->order, members->next++);
+  return g_ptr_array_index (members->probe_order, members->next_probe_index++);
 }
 
-/* The next member that is not dead, gone or being probed; NULL for none. */
+/* Returns the next alive or suspect member to probe, or NULL for none. */
 static struct jl_member *
 next_to_probe (struct jl_core *core)
 {
-  for (guint i = core->members->order->len; i > 0; i--)
+  for (guint i = core->members->probe_order->len; i > 0; i--)
     {
       struct jl_member *member = next_in_order (core);
 
@@ -170,7 +180,7 @@
 {
   struct jl_core *core = context;
   struct jl_members *members = core->members;
-  uint32_t others = members->order->len;
+  uint32_t others = members->probe_order->len;
   struct jl_member *member = NULL;
 
   if (!JL_SWITCHED_OFF (core, JL_MECHANISM_PROBES))
@@ -179,15 +189,15 @@
     send_probe (core, member);
   jl_timer_start (core->timers, timer,
                   core->now_us
-                      + PERIOD_US / CLAMP (others, 1, PROBES_PER_PERIOD),
+                      + PROBE_PERIOD_US / CLAMP (others, 1, PROBES_PER_PERIOD),
                   probe_next, core);
 }
 
-/* A dead member, drawn from all of them; NULL for none. */
+/* Returns a random dead member that is not being probed, or NULL. */
 static struct jl_member *
-draw_dead (struct jl_core *core)
+pick_dead (struct jl_core *core)
 {
-  GPtrArray *order = core->members->order;
+  GPtrArray *order = core->members->probe_order;
   guint start = jl_members_random (core->members, order->len);
 
   for (guint i = 0; i < order->len; i++)
@@ -195,7 +205,7 @@
       struct jl_member *member
           = g_ptr_array_index (order, (start + i) % order->len);
 
-      if (member->info.state == JL_MEMBER_DEAD && !member->hearsay
+      if (member->info.state == JL_MEMBER_DEAD && !member->never_alive
           && member->probe_sequence == 0)
         return member;
     }
@@ -203,8 +213,8 @@
 }
 
 /*
- * Probes a dead member now and then, so that two halves join again. All
- * members together probe each dead one about once a period.
+ * Probes a dead member at times, so that two partitions merge again. All
+ * alive members together probe each dead member about once a period.
  */
 static void
 probe_dead (void *context, struct jl_timer *timer)
@@ -216,39 +226,42 @@
   if (jl_members_random (core->members, MAX (count[JL_MEMBER_ALIVE], 1))
           < count[JL_MEMBER_DEAD]
       && !JL_SWITCHED_OFF (core, JL_MECHANISM_PROBES))
-    member = draw_dead (core);
+    member = pick_dead (core);
   if (member != NULL)
     send_probe (core, member);
-  jl_timer_start (core->timers, timer, core->now_us + PERIOD_US, probe_dead,
-                  core);
+  jl_timer_start (core->timers, timer, core->now_us + PROBE_PERIOD_US,
+                  probe_dead, core);
 }
 
 void
 jl_probe_start (struct jl_core *core, struct jl_members *members)
 {
   jl_timer_start (core->timers, &members->probe,
-                  core->now_us + jl_members_random (members, PERIOD_US),
+                  core->now_us + jl_members_random (members, PROBE_PERIOD_US),
                   probe_next, core);
-  jl_timer_start (core->timers, &members->slow_probe,
-                  core->now_us + jl_members_random (members, PERIOD_US),
+  jl_timer_start (core->timers, &members->dead_probe,
+                  core->now_us + jl_members_random (members, PROBE_PERIOD_US),
                   probe_dead, core);
 }
 
 static void
-answer_probe (struct jl_core *core, const struct jl_message *probe)
+send_ack (struct jl_core *core, const struct jl_message *probe)
 {
   struct jl_message *ack
-      = jl_gossip_message (core, JL_MESSAGE_ACK, probe->from.member);
+      = jl_gossip_emit (core, JL_MESSAGE_ACK, probe->from.member);
 
   ack->sequence = probe->sequence;
   ack->subject = probe->subject;
-  if (core->members->show_self || probe->to.epoch != core->identity.epoch)
+  if (core->members->send_self_info || probe->to.epoch != core->identity.epoch)
     jl_gossip_add (ack, core->members->self);
-  core->members->show_self = false;
-  jl_gossip_fill (core, ack);
+  core->members->send_self_info = false;
+  jl_gossip_add_queued (core, ack);
 }
 
-/* Probes the subject for the sender; the answer names the sender again. */
+/*
+ * Probes the subject on behalf of the sender of @request. The acknowledgement
+ * names that sender as its subject.
+ */
 static void
 relay_probe (struct jl_core *core, const struct jl_message *request)
 {
@@ -256,16 +269,17 @@
 
   if (request->subject == 0)
     return;
-  probe = jl_gossip_message (core, JL_MESSAGE_PROBE, request->subject);
+  probe = jl_gossip_emit (core, JL_MESSAGE_PROBE, request->subject);
   probe->sequence = request->sequence;
   probe->subject = request->from.member;
 }
 
+/* Forwards the acknowledgement of a relayed probe to its requester. */
 static void
 relay_ack (struct jl_core *core, const struct jl_message *ack)
 {
   struct jl_message *message
-      = jl_gossip_message (core, JL_MESSAGE_RELAY_ACK, ack->subject);
+      = jl_gossip_emit (core, JL_MESSAGE_RELAY_ACK, ack->subject);
 
   message->sequence = ack->sequence;
   message->subject = ack->from.member;
@@ -281,14 +295,14 @@
 }
 
 void
-jl_probe_message (struct jl_core *core, const struct jl_message *message)
+jl_probe_handle_message (struct jl_core *core, const struct jl_message *message)
 {
   if (message->type == JL_MESSAGE_PROBE)
     {
-      answer_probe (core, message);
+      send_ack (core, message);
       return;
     }
-  /* Sequences of an earlier life mean nothing to this one. */
+  /* Sequence numbers of an earlier epoch of this daemon are not valid now. */
   if (message->to.epoch != core->identity.epoch)
     return;
   if (message->type == JL_MESSAGE_PROBE_RELAY)
@@ -302,9 +316,9 @@
 }
 
 void
-jl_probe_introduce (struct jl_core *core, uint64_t member)
+jl_probe_unknown_sender (struct jl_core *core, uint64_t member)
 {
-  struct jl_message *probe = jl_gossip_message (core, JL_MESSAGE_PROBE, member);
+  struct jl_message *probe = jl_gossip_emit (core, JL_MESSAGE_PROBE, member);
 
   probe->to.epoch = 0;
   jl_gossip_add (probe, core->members->self);
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -1,5 +1,6 @@
 /**
- * DOC: The member list.
+ * DOC: The member list: lookup, merging of updates, and removal of members
+ * that have been dead or gone for long.
  */
 
 #include "member-impl.h"
@@ -9,16 +10,18 @@
 
 #include "entry.h"
 
-/* No work goes to a member for this long after a sending to it failed. */
-#define EJECT_US (1 * JL_USEC_PER_SEC)
-/* Dead members are kept and probed for this long. */
-#define DEAD_KEEP_US (UINT64_C (6) * 3600 * JL_USEC_PER_SEC)
-/* Old gossip must not bring back one that left. */
-#define LEFT_KEEP_US (3600 * JL_USEC_PER_SEC)
-#define HEARSAY_KEEP_US (300 * JL_USEC_PER_SEC)
-#define SWEEP_INTERVAL_US (60 * JL_USEC_PER_SEC)
-/* Random draws for each member wanted, before the list is gone through. */
-#define DRAWS_PER_PICK 4
+/* A member gets no new work for this long after a failed attempt. */
+#define EJECTION_US (1 * JL_USEC_PER_SEC)
+/* Dead members are kept and probed for this long, so that they can rejoin. */
+#define DEAD_RETENTION_US (UINT64_C (6) * 3600 * JL_USEC_PER_SEC)
+/* A member that left is kept this long, so that old gossip cannot re-add it. */
+#define LEFT_RETENTION_US (3600 * JL_USEC_PER_SEC)
+/* Tombstones of members that were never known as alive here. */
+#define NEVER_ALIVE_RETENTION_US (300 * JL_USEC_PER_SEC)
+/* Interval of the removal of expired members. */
+#define EXPIRY_INTERVAL_US (60 * JL_USEC_PER_SEC)
+/* Random draws per requested member before a linear scan of the list. */
+#define RANDOM_DRAWS_PER_MEMBER 4
 
 static const char *const state_names[JL_MEMBER_STATE_COUNT]
     = { "alive", "suspect", "dead", "left" };
@@ -27,8 +30,9 @@
     = { JL_LOG_MEMBER_ALIVE, JL_LOG_MEMBER_SUSPECT, JL_LOG_MEMBER_DEAD,
         JL_LOG_MEMBER_LEFT };
 
+/* Links @member into the list of its service, if that is configured. */
 static void
-place_by_service (struct jl_core *core, struct jl_member *member)
+index_by_service (struct jl_core *core, struct jl_member *member)
 {
   cds_list_del_init (&member->by_service);
   member->service = JL_NONE;
@@ -52,7 +56,7 @@
   member->first_seen_us = core->now_us;
   member->changed_us = core->now_us;
   CDS_INIT_LIST_HEAD (&member->by_service);
-  CDS_INIT_LIST_HEAD (&member->news);
+  CDS_INIT_LIST_HEAD (&member->gossip_link);
   cds_list_add_tail (&member->all, &members->all);
   g_hash_table_insert (members->by_id, JL_HASH_KEY (info->identity.member),
                        member);
@@ -64,36 +68,39 @@
 {
   struct jl_members *members = core->members;
 
-  jl_gossip_forget (core, member);
-  jl_timer_stop (core->timers, &member->probe);
-  jl_timer_stop (core->timers, &member->suspicion);
-  if (!member->hearsay)
+  jl_gossip_remove (core, member);
+  jl_timer_stop (core->timers, &member->probe_timeout);
+  jl_timer_stop (core->timers, &member->suspicion_timeout);
+  if (!member->never_alive)
     members->count[member->info.state]--;
   g_hash_table_remove (members->by_id,
                        JL_HASH_KEY (member->info.identity.member));
-  g_ptr_array_remove (members->order, member);
+  g_ptr_array_remove (members->probe_order, member);
   cds_list_del (&member->all);
   cds_list_del (&member->by_service);
   g_free (member);
 }
 
-/* Whether a member has been gone for so long that nobody speaks of it. */
+/*
+ * Whether a member has been dead or gone for so long that no other member
+ * sends updates of it any more.
+ */
 static bool
-is_forgotten (const struct jl_core *core, const struct jl_member *member)
+is_expired (const struct jl_core *core, const struct jl_member *member)
 {
-  uint64_t keep_us = DEAD_KEEP_US;
+  uint64_t retention_us = DEAD_RETENTION_US;
 
   if (member->info.state <= JL_MEMBER_SUSPECT || member->in_flight > 0)
     return false;
   if (member->info.state == JL_MEMBER_LEFT)
-    keep_us = LEFT_KEEP_US;
-  if (member->hearsay)
-    keep_us = HEARSAY_KEEP_US;
-  return core->now_us > member->changed_us + keep_us;
+    retention_us = LEFT_RETENTION_US;
+  if (member->never_alive)
+    retention_us = NEVER_ALIVE_RETENTION_US;
+  return core->now_us > member->changed_us + retention_us;
 }
 
 static void
-sweep (void *context, struct jl_timer *timer)
+remove_expired (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_member *member;
@@ -101,11 +108,11 @@
 
   cds_list_for_each_entry_safe (member, next, &core->members->all, all)
   {
-    if (member != core->members->self && is_forgotten (core, member))
+    if (member != core->members->self && is_expired (core, member))
       free_member (core, member);
   }
-  jl_timer_start (core->timers, timer, core->now_us + SWEEP_INTERVAL_US, sweep,
-                  core);
+  jl_timer_start (core->timers, timer, core->now_us + EXPIRY_INTERVAL_US,
+                  remove_expired, core);
 }
 
 uint32_t
@@ -123,20 +130,20 @@
                                  .incarnation = 1 };
 
   CDS_INIT_LIST_HEAD (&members->all);
-  CDS_INIT_LIST_HEAD (&members->fresh_news);
-  CDS_INIT_LIST_HEAD (&members->old_news);
+  CDS_INIT_LIST_HEAD (&members->recent_updates);
+  CDS_INIT_LIST_HEAD (&members->older_updates);
   for (size_t i = 0; i < JL_SERVICE_MAX; i++)
     CDS_INIT_LIST_HEAD (&members->by_service[i]);
   members->by_id = g_hash_table_new (g_direct_hash, g_direct_equal);
-  members->order = g_ptr_array_new ();
+  members->probe_order = g_ptr_array_new ();
   members->random = g_rand_new_with_seed (core->options.seed);
   g_strlcpy (self.zone, core->options.zone, JL_NAME_SIZE);
   members->self = add_member (core, members, &self);
   members->count[JL_MEMBER_ALIVE] = 1;
   jl_probe_start (core, members);
   jl_join_start (core, members);
-  jl_timer_start (core->timers, &members->sweep,
-                  core->now_us + SWEEP_INTERVAL_US, sweep, core);
+  jl_timer_start (core->timers, &members->expiry,
+                  core->now_us + EXPIRY_INTERVAL_US, remove_expired, core);
   return members;
 }
 
@@ -149,31 +156,32 @@
   cds_list_for_each_entry_safe (member, next, &members->all, all)
       g_free (member);
   g_hash_table_destroy (members->by_id);
-  g_ptr_array_free (members->order, TRUE);
+  g_ptr_array_free (members->probe_order, TRUE);
   g_rand_free (members->random);
   g_free (members);
 }
 
 void
-jl_members_config (struct jl_core *core)
+jl_members_config_changed (struct jl_core *core)
 {
   struct jl_member *member;
 
   cds_list_for_each_entry (member, &core->members->all, all)
-      place_by_service (core, member);
+      index_by_service (core, member);
   jl_gossip_push_version (core);
-  jl_fetch_installed (core);
+  jl_fetch_config_installed (core);
 }
 
 bool
-jl_members_was_late (struct jl_core *core, const struct jl_timer *timer)
+jl_members_timer_is_late (struct jl_core *core, const struct jl_timer *timer)
 {
-  if (core->now_us < timer->due_us + JL_MEMBER_LATE_US)
+  if (core->now_us < timer->due_us + JL_MEMBER_TIMER_LATE_US)
     return false;
-  jl_join_compare_soon (core);
+  jl_join_schedule_compare (core);
   return true;
 }
 
+/* Compares the epoch first, then the incarnation, then the state. */
 static bool
 is_newer (const struct jl_member_info *info, const struct jl_member_info *known)
 {
@@ -184,7 +192,10 @@
   return info->state > known->state;
 }
 
-/* Another member is wrong about this daemon: raises the incarnation. */
+/*
+ * Handles an update about this daemon. If it would override the own entry,
+ * raises the incarnation above it, unless this daemon is leaving.
+ */
 static void
 refute (struct jl_core *core, const struct jl_member_info *info)
 {
@@ -193,17 +204,17 @@
 
   if (info->identity.epoch > core->identity.epoch)
     return;
-  members->show_self |= is_newer (&self->info, info);
+  members->send_self_info |= is_newer (&self->info, info);
   if (!is_newer (info, &self->info) || self->info.state == JL_MEMBER_LEFT)
     return;
   self->info.incarnation = info->incarnation + 1;
-  members->show_self = true;
+  members->send_self_info = true;
   jl_gossip_queue (core, self);
 }
 
-/* Forgets what only the earlier life of a member was like. */
+/* Resets the fields that describe only the previous epoch of @member. */
 static void
-start_life (struct jl_core *core, struct jl_member *member)
+reset_epoch_state (struct jl_core *core, struct jl_member *member)
 {
   member->first_seen_us = core->now_us;
   member->ejected_until_us = 0;
@@ -213,50 +224,52 @@
   member->load_us = 0;
   member->config_version = 0;
   member->probe_sequence = 0;
-  jl_timer_stop (core->timers, &member->probe);
+  jl_timer_stop (core->timers, &member->probe_timeout);
 }
 
-/* Takes over @info, which is newer than what is known. */
+/* Replaces the information on @member by @info, which is newer. */
 static void
 replace_info (struct jl_core *core,
               struct jl_member *member,
               const struct jl_member_info *info)
 {
   struct jl_members *members = core->members;
-  bool new_life = info->identity.epoch != member->info.identity.epoch;
-  bool new_state = new_life || info->state != member->info.state;
+  bool new_epoch = info->identity.epoch != member->info.identity.epoch;
+  bool new_state = new_epoch || info->state != member->info.state;
   bool new_service = strcmp (info->service, member->info.service) != 0;
 
-  if (!member->hearsay)
+  if (!member->never_alive)
     members->count[member->info.state]--;
-  member->hearsay &= info->state >= JL_MEMBER_DEAD;
-  if (!member->hearsay)
+  member->never_alive &= info->state >= JL_MEMBER_DEAD;
+  if (!member->never_alive)
     members->count[info->state]++;
-  if (new_life)
-    start_life (core, member);
+  if (new_epoch)
+    reset_epoch_state (core, member);
   member->info = *info;
-  member->suspected_here = false;
+  member->suspected_locally = false;
   if (new_service)
-    place_by_service (core, member);
+    index_by_service (core, member);
   if (!new_state)
     return;
   member->changed_us = core->now_us;
-  if (!member->hearsay)
+  if (!member->never_alive)
     jl_log_event (core, state_logs[info->state], info->identity.member,
                   info->incarnation);
 }
 
+/* Adds a member at a random place in the probing order. */
 static struct jl_member *
-add_other (struct jl_core *core, const struct jl_member_info *info)
+add_remote_member (struct jl_core *core, const struct jl_member_info *info)
 {
   struct jl_members *members = core->members;
   struct jl_member *member = add_member (core, members, info);
-  guint place = jl_members_random (core->members, members->order->len + 1);
+  guint index
+      = jl_members_random (core->members, members->probe_order->len + 1);
 
-  g_ptr_array_insert (members->order, (gint)place, member);
-  member->hearsay = info->state >= JL_MEMBER_DEAD;
-  place_by_service (core, member);
-  if (member->hearsay)
+  g_ptr_array_insert (members->probe_order, (gint)index, member);
+  member->never_alive = info->state >= JL_MEMBER_DEAD;
+  index_by_service (core, member);
+  if (member->never_alive)
     return member;
   members->count[info->state]++;
   jl_log_event (core, state_logs[info->state], info->identity.member,
@@ -275,17 +288,17 @@
       refute (core, info);
       return;
     }
-  /* What an earlier life was sent is lost with it. */
+  /* Attempts sent to an earlier epoch of the member were lost with it. */
   if (member != NULL && member->info.identity.epoch < info->identity.epoch)
     lost = true;
   if (member == NULL)
-    member = add_other (core, info);
+    member = add_remote_member (core, info);
   else if (is_newer (info, &member->info))
     replace_info (core, member, info);
   else
     return;
-  jl_probe_changed (core, member);
-  if (!member->hearsay)
+  jl_probe_member_changed (core, member);
+  if (!member->never_alive)
     jl_gossip_queue (core, member);
   if (member->in_flight > 0 && lost)
     jl_entry_member_lost (core, member->info.identity.member);
@@ -302,15 +315,21 @@
   jl_members_merge (core, &info);
 }
 
-/* Adds the member at @place, if it is alive and was not drawn before. */
+/*
+ * Adds the member at @index of the probing order to @picked, if it is alive,
+ * is not @except and was not picked before.
+ *
+ * Return: the new number of members picked.
+ */
 static uint32_t
-pick_one (struct jl_core *core,
-          guint place,
-          uint64_t except,
-          struct jl_member **picked,
-          uint32_t count)
+pick_at (struct jl_core *core,
+         guint index,
+         uint64_t except,
+         struct jl_member **picked,
+         uint32_t count)
 {
-  struct jl_member *member = g_ptr_array_index (core->members->order, place);
+  struct jl_member *member
+      = g_ptr_array_index (core->members->probe_order, index);
 
   if (member->info.state != JL_MEMBER_ALIVE
       || member->info.identity.member == except)
@@ -328,49 +347,49 @@
                  struct jl_member **picked,
                  uint32_t max)
 {
-  guint length = core->members->order->len;
+  guint length = core->members->probe_order->len;
   uint32_t count = 0;
   guint start;
 
   if (length == 0)
     return 0;
-  for (uint32_t i = 0; i < DRAWS_PER_PICK * max && count < max; i++)
-    count = pick_one (core, jl_members_random (core->members, length), except,
-                      picked, count);
-  /* Few are alive, or the list is short: take whoever there is. */
+  for (uint32_t i = 0; i < RANDOM_DRAWS_PER_MEMBER * max && count < max; i++)
+    count = pick_at (core, jl_members_random (core->members, length), except,
+                     picked, count);
+  /* Few members are alive or the list is short: scan it from a random start. */
   start = jl_members_random (core->members, length);
   for (guint i = 0; i < length && count < max; i++)
-    count = pick_one (core, (start + i) % length, except, picked, count);
+    count = pick_at (core, (start + i) % length, except, picked, count);
   return count;
 }
 
 void
-jl_members_message (struct jl_core *core, const struct jl_message *message)
+jl_members_handle_message (struct jl_core *core,
+                           const struct jl_message *message)
 {
   struct jl_members *members = core->members;
   struct jl_member *from = jl_members_find (core, message->from.member);
 
   if (message->from.member == core->identity.member)
     return;
-  /* A late message of a life that has ended. */
+  /* A delayed message from an earlier epoch of the sender. */
   if (from != NULL && message->from.epoch < from->info.identity.epoch)
     return;
-  members->show_self = false;
+  members->send_self_info = false;
   for (uint32_t i = 0; i < message->update_count; i++)
     jl_members_merge (core, &message->updates[i]);
   from = jl_members_find (core, message->from.member);
   if (from != NULL && message->from.epoch == from->info.identity.epoch)
-    jl_fetch_heard (core, from, message->config_version);
+    jl_fetch_version_reported (core, from, message->config_version);
   else
-    jl_probe_introduce (core, message->from.member);
+    jl_probe_unknown_sender (core, message->from.member);
   if (message->type == JL_MESSAGE_JOIN)
-    jl_join_message (core, message);
+    jl_join_handle_request (core, message);
   else
-    jl_probe_message (core, message);
-  if (members->show_self)
-    jl_gossip_add (
-        jl_gossip_message (core, JL_MESSAGE_SYNC, message->from.member),
-        members->self);
+    jl_probe_handle_message (core, message);
+  if (members->send_self_info)
+    jl_gossip_add (jl_gossip_emit (core, JL_MESSAGE_SYNC, message->from.member),
+                   members->self);
 }
 
 void
@@ -383,7 +402,7 @@
   self->info.slots = core->target.slots;
   self->info.connections = core->target.connections;
   self->info.target_up = core->target.up && !core->draining;
-  place_by_service (core, self);
+  index_by_service (core, self);
   jl_emit (core, JL_EFFECT_PUBLISH)->publish = self->info;
   jl_gossip_queue (core, self);
   jl_gossip_push_now (core);
@@ -432,7 +451,7 @@
   struct jl_member *member = jl_members_find (core, id);
 
   if (member != NULL)
-    member->ejected_until_us = core->now_us + EJECT_US;
+    member->ejected_until_us = core->now_us + EJECTION_US;
 }
 
 uint32_t
--- a/source/core/member.h
+++ b/source/core/member.h
@@ -2,41 +2,44 @@
 #define JACKDAWLADDER_MEMBER_H
 
 /**
- * DOC: Membership: who is there, by probes, gossip and a leave message.
+ * DOC: Group membership by probes, gossip and a leave message (SWIM).
  *
- * Every daemon keeps the whole list. No platform is needed for it. The list
- * is in member.c; member-probe.c finds out who is gone, member-gossip.c
- * spreads news, member-join.c gets and compares whole lists, and
- * member-fetch.c gets newer configurations.
+ * Every daemon keeps the full member list and needs no platform service for
+ * that. member.c holds the list, member-probe.c detects failed members,
+ * member-gossip.c spreads member updates, member-join.c requests and compares
+ * full lists, and member-fetch.c fetches newer configurations from peers.
  */
 
 #include "core-impl.h"
 
 /**
- * struct jl_member - one member as seen from here
- * @info: the newest that is known of it
+ * struct jl_member - one member as this daemon knows it
+ * @info: newest information known about the member
  * @service: index in the configuration, JL_NONE if not in it
- * @by_service: place in the list of its service
- * @changed_us: when @info.state changed
- * @ejected_until_us: gets no work before, after a sending of ours failed
- * @in_flight: sendings of ours that are out
- * @load_permille: its load by its last answer
- * @level: lowest priority that it refuses, by its last answer
- * @level_us: when that answer came; 0 for never
- * @first_seen_us: when this life of it was first heard of
- * @load_us: when its load was last heard of; 0 for never
+ * @all: link in the list of all members
+ * @by_service: link in the list of members of the same service
+ * @changed_us: when @info.state last changed
+ * @first_seen_us: when this epoch of the member was first heard of
+ * @ejected_until_us: no new work goes to the member before this time, because
+ *                    an attempt sent by this daemon failed
+ * @in_flight: attempts that this daemon has sent and that are not answered yet
+ * @load_permille: load that the member reported with its last answer
+ * @level: lowest priority that the member refuses, by its last answer
+ * @level_us: when @level was reported; 0 for never
+ * @load_us: when @load_permille was reported; 0 for never
  * @rank: see rank_of() in place.c; 0 while not set
- * @hearsay: a tombstone of a member never known alive here; not passed on
- * @config_version: configuration that it last said to have
- * @news: place in a list of what is to be gossiped
- * @news_us: when @info became news
- * @gossip_left: messages that still carry @info
- * @push_due: @info has not been pushed yet
- * @probe: the probe in progress runs out
- * @probe_sequence: of the probe in progress, 0 when there is none
- * @probe_relayed: others have been asked to probe it too
- * @suspected_here: a probe of this daemon found it silent
- * @suspicion: it is taken for dead then
+ * @never_alive: a tombstone of a member that this daemon never knew as alive;
+ *               such an entry is not passed on
+ * @config_version: configuration version that the member last reported
+ * @gossip_link: link in the list of queued updates (recent or older)
+ * @gossip_queued_us: when @info was queued for gossip
+ * @gossip_sends_left: number of messages that are still to carry @info
+ * @push_pending: @info has not been pushed yet
+ * @probe_timeout: timeout of the probe in progress
+ * @probe_sequence: sequence of the probe in progress, 0 when there is none
+ * @probe_relayed: other members have been asked to probe the member too
+ * @suspected_locally: the suspicion comes from a failed probe of this daemon
+ * @suspicion_timeout: the member is declared dead when this timer expires
  */
 struct jl_member
 {
@@ -53,58 +56,66 @@
   uint64_t level_us;
   uint64_t load_us;
   uint64_t rank;
-  bool hearsay;
+  bool never_alive;
   uint64_t config_version;
-  struct cds_list_head news;
-  uint64_t news_us;
-  uint32_t gossip_left;
-  bool push_due;
-  struct jl_timer probe;
+  struct cds_list_head gossip_link;
+  uint64_t gossip_queued_us;
+  uint32_t gossip_sends_left;
+  bool push_pending;
+  struct jl_timer probe_timeout;
   uint64_t probe_sequence;
   bool probe_relayed;
-  bool suspected_here;
-  struct jl_timer suspicion;
+  bool suspected_locally;
+  struct jl_timer suspicion_timeout;
 };
 
 struct jl_members *jl_members_new (struct jl_core *core);
 void jl_members_drop (struct jl_members *members);
 
 /**
- * jl_members_config - the configuration has changed; services are found anew
+ * jl_members_config_changed - looks up the service of each member in a
+ * new configuration, and announces its version
  */
-void jl_members_config (struct jl_core *core);
+void jl_members_config_changed (struct jl_core *core);
 
 /**
- * jl_members_seed - a daemon may be reached at @control
+ * jl_members_add_seed - adds a daemon that may be reachable at @control
  */
-void jl_members_seed (struct jl_core *core, struct jl_endpoint control);
+void jl_members_add_seed (struct jl_core *core, struct jl_endpoint control);
 
 /**
- * jl_members_message - handles a probe, acknowledgement, join or news
+ * jl_members_handle_message - handles a membership message: probe,
+ * acknowledgement, join request or member updates
  */
-void jl_members_message (struct jl_core *core,
-                         const struct jl_message *message);
+void jl_members_handle_message (struct jl_core *core,
+                                const struct jl_message *message);
 
 /**
- * jl_members_self_changed - the own target, or draining, has changed
+ * jl_members_self_changed - publishes a change of this daemon's target or
+ * of its draining
  *
- * Tells the other daemons at once.
+ * Pushes the update to other daemons at once.
  */
 void jl_members_self_changed (struct jl_core *core);
 
 /**
- * jl_members_leave - tells the other daemons that this one leaves
+ * jl_members_leave - tells the other daemons that this daemon leaves
  */
 void jl_members_leave (struct jl_core *core);
 
 /**
- * jl_members_find - a member by identifier, NULL when it is not known
+ * jl_members_find - finds a member by its identifier
+ *
+ * Return: the member, or NULL if it is not known.
  */
 struct jl_member *jl_members_find (struct jl_core *core, uint64_t member);
 
 /**
- * jl_members_of_service - members that announced @service, by their
- * @by_service; NULL when @service is not in the configuration
+ * jl_members_of_service - lists the members that announced @service
+ * @service: index in the configuration
+ *
+ * Return: head of a list linked by jl_member.by_service, or NULL if @service
+ * is out of range, as JL_NONE is for a service that is not configured.
  */
 struct cds_list_head *jl_members_of_service (struct jl_core *core,
                                              uint32_t service);
@@ -115,22 +126,23 @@
 bool jl_member_serves (const struct jl_member *member);
 
 /**
- * jl_member_usable - whether @member takes new work now, as far as is known
+ * jl_member_usable - whether @member serves and is not ejected now
  */
 bool jl_member_usable (struct jl_core *core, const struct jl_member *member);
 
 /**
- * jl_members_eject - a sending of ours to @member failed; no work for a while
+ * jl_members_eject - sends no new work to @member for a while, after an
+ * attempt of this daemon failed there
  */
 void jl_members_eject (struct jl_core *core, uint64_t member);
 
 /**
- * jl_members_count - alive members, this one included
+ * jl_members_count - counts the alive members, including this daemon
  */
 uint32_t jl_members_count (struct jl_core *core);
 
 /**
- * jl_members_dump - appends a JSON array
+ * jl_members_dump - appends the member list as a JSON array
  */
 void jl_members_dump (struct jl_core *core, GString *out);
 
--- a/source/rpc/control.c
+++ b/source/rpc/control.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The control endpoint: one UDP socket, and one thread that receives.
+ * DOC: The control endpoint: a UDP socket and a receiving thread.
  */
 
 #include "jackdawladder/control.h"
@@ -16,8 +16,8 @@
 
 #include "wire.h"
 
-/* Room for the parts of a whole member list, bytes. */
-#define RECEIVE_BUFFER_SIZE (1024 * 1024)
+/* Socket buffer; holds the datagrams of a full member list. */
+#define RECEIVE_BUFFER_BYTES (1024 * 1024)
 
 GQuark
 jl_control_error_quark (void)
@@ -27,12 +27,15 @@
 
 /**
  * struct jl_control - a control endpoint
- * @stop: an event descriptor; readable when the thread is to end
+ * @socket: UDP socket, also used for sending
+ * @stop_event: event descriptor; becomes readable when the thread is to end
+ * @receive: called on the receiving thread for each valid message
+ * @next_call_id: RPC transaction identifier of the next message sent
  */
 struct jl_control
 {
   int socket;
-  int stop;
+  int stop_event;
   pthread_t thread;
   JL_CONTROL_FN (receive);
   void *context;
@@ -44,12 +47,12 @@
   _Atomic uint64_t malformed;
 };
 
-/* Takes datagrams until there is none. */
+/* Receives and decodes datagrams until the socket buffer is empty. */
 static void
 receive_all (struct jl_control *control)
 {
-  /* One byte more than allowed shows a datagram that is too long. */
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX + 1];
+  /* One byte more than the maximum, to detect a datagram that is too long. */
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX + 1];
   struct jl_message message;
   ssize_t size;
 
@@ -69,7 +72,7 @@
 {
   struct jl_control *control = context;
   struct pollfd fds[2] = { { .fd = control->socket, .events = POLLIN },
-                           { .fd = control->stop, .events = POLLIN } };
+                           { .fd = control->stop_event, .events = POLLIN } };
 
   for (;;)
     {
@@ -99,7 +102,7 @@
              GError **error)
 {
   struct sockaddr_in address = to_sockaddr (local);
-  int buffer_size = RECEIVE_BUFFER_SIZE;
+  int buffer_size = RECEIVE_BUFFER_BYTES;
   char text[JL_ENDPOINT_TEXT_SIZE];
 
   control->socket = socket (AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
@@ -122,14 +125,14 @@
 {
   int result;
 
-  control->stop = eventfd (0, EFD_CLOEXEC);
-  result = control->stop < 0
+  control->stop_event = eventfd (0, EFD_CLOEXEC);
+  result = control->stop_event < 0
                ? errno
                : pthread_create (&control->thread, NULL, receive_loop, control);
   if (result == 0)
     return true;
-  g_set_error (error, JL_CONTROL_ERROR, JL_CONTROL_ERROR_RPC,
-               "receiving thread: %s", g_strerror (result));
+  g_set_error (error, JL_CONTROL_ERROR, JL_CONTROL_ERROR_THREAD,
+               "cannot start the receiving thread: %s", g_strerror (result));
   return false;
 }
 
@@ -138,8 +141,8 @@
 {
   if (control->socket >= 0)
     close (control->socket);
-  if (control->stop >= 0)
-    close (control->stop);
+  if (control->stop_event >= 0)
+    close (control->stop_event);
   g_free (control);
 }
 
@@ -151,7 +154,7 @@
 {
   struct jl_control *control = g_new0 (struct jl_control, 1);
 
-  control->stop = -1;
+  control->stop_event = -1;
   control->receive = receive;
   control->context = context;
   if (bind_socket (control, local, error) && start_thread (control, error))
@@ -165,7 +168,7 @@
 {
   uint64_t one = 1;
 
-  if (write (control->stop, &one, sizeof one) != sizeof one)
+  if (write (control->stop_event, &one, sizeof one) != sizeof one)
     g_error ("eventfd: %s", g_strerror (errno));
   pthread_join (control->thread, NULL);
   free_control (control);
@@ -177,7 +180,7 @@
                  const struct jl_message *message)
 {
   struct sockaddr_in address = to_sockaddr (to);
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX];
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX];
   size_t size = jl_wire_encode (message, control->next_call_id++, data);
 
   if (size == 0
--- a/source/rpc/wire.c
+++ b/source/rpc/wire.c
@@ -1,6 +1,8 @@
 /**
- * DOC: Coding of control messages. The XDR routines are rpcgen's; what they
- * do not check is checked here.
+ * DOC: Encoding and decoding of control messages.
+ *
+ * rpcgen generates the XDR routines. This file validates the values that those
+ * do not check.
  */
 
 #include "wire.h"
@@ -9,10 +11,13 @@
 
 #include "gen/control.h"
 
-/* No target announces more than this. */
+/* Larger values are rejected: no target announces as many. */
 #define SLOTS_MAX 1000000
 #define CONNECTIONS_MAX 10000000
-/* A member can still raise its own above what is said of it. */
+/*
+ * Larger values are rejected, so that a member can always raise its incarnation
+ * above the one in an update about it.
+ */
 #define INCARNATION_MAX 1000000000
 
 G_STATIC_ASSERT (WIRE_NAME_MAX == JL_NAME_SIZE - 1);
@@ -29,14 +34,14 @@
 }
 
 static bool
-is_life (struct jl_identity identity)
+is_valid_identity (struct jl_identity identity)
 {
   return is_member_id (identity.member) && identity.epoch != 0;
 }
 
-/* Names are shown in JSON and in the counters, and need no quoting there. */
+/* Names are written to JSON and metrics without escaping. */
 static bool
-is_name (const char *name)
+is_printable_name (const char *name)
 {
   for (; *name != '\0'; name++)
     if (!g_ascii_isgraph (*name) || *name == '"' || *name == '\\')
@@ -47,22 +52,25 @@
 static bool
 check_member (const struct jl_member_info *info)
 {
-  return is_life (info->identity) && info->state < JL_MEMBER_STATE_COUNT
+  return is_valid_identity (info->identity)
+         && info->state < JL_MEMBER_STATE_COUNT
          && info->incarnation <= INCARNATION_MAX && info->peer.ip != 0
-         && info->peer.port != 0 && is_name (info->zone)
-         && is_name (info->service) && info->slots <= SLOTS_MAX
+         && info->peer.port != 0 && is_printable_name (info->zone)
+         && is_printable_name (info->service) && info->slots <= SLOTS_MAX
          && info->connections <= CONNECTIONS_MAX;
 }
 
 static bool
 check_message (const struct jl_message *message)
 {
-  if (message->type >= JL_MESSAGE_TYPE_COUNT || !is_life (message->from)
+  if (message->type >= JL_MESSAGE_TYPE_COUNT
+      || !is_valid_identity (message->from)
       || !is_member_id (message->to.member))
     return false;
   if (message->subject != 0 && !is_member_id (message->subject))
     return false;
-  if (message->attempt.origin.member != 0 && !is_life (message->attempt.origin))
+  if (message->attempt.origin.member != 0
+      && !is_valid_identity (message->attempt.origin))
     return false;
   for (uint32_t i = 0; i < message->update_count; i++)
     if (!check_member (&message->updates[i]))
@@ -85,7 +93,7 @@
   return (struct jl_identity){ identity.member, identity.epoch };
 }
 
-/* Strings point into @info. */
+/* The strings of @wire point into @info. */
 static void
 member_to_wire (const struct jl_member_info *info, struct wire_member *wire)
 {
@@ -101,7 +109,7 @@
   wire->target_up = info->target_up;
 }
 
-/* XDR has checked the length of the strings. */
+/* The XDR routines have checked the lengths of the strings. */
 static bool
 member_from_wire (const struct wire_member *wire, struct jl_member_info *info)
 {
@@ -202,11 +210,11 @@
     strikes[i] = (struct wire_strike){ .digest = message->strikes[i].digest,
                                        .target = message->strikes[i].target,
                                        .age_ms = message->strikes[i].age_ms };
-  xdrmem_create (&xdr, (char *)data, JL_WIRE_SIZE_MAX, XDR_ENCODE);
+  xdrmem_create (&xdr, (char *)data, JL_WIRE_BYTES_MAX, XDR_ENCODE);
   return encode_call (&xdr, call_id, &wire) ? xdr_getpos (&xdr) : 0;
 }
 
-/* Reads the header of a call without credentials, for our procedure. */
+/* Decodes and checks an RPC call header: WIRE_SEND without credentials. */
 static bool
 decode_call (XDR *xdr)
 {
@@ -217,7 +225,7 @@
 
   if (cred->oa_base != NULL || verf->oa_base != NULL)
     {
-      /* Allocated for a body, which our calls never have. */
+      /* Allocated for the body of a credential; valid calls have none. */
       free (cred->oa_base);
       free (verf->oa_base);
       return false;
@@ -237,7 +245,7 @@
   bool ok;
   XDR xdr;
 
-  if (size > JL_WIRE_SIZE_MAX)
+  if (size > JL_WIRE_BYTES_MAX)
     return false;
   xdrmem_create (&xdr, (char *)data, (u_int)size, XDR_DECODE);
   if (!decode_call (&xdr))
--- a/tests/bench/member.c
+++ b/tests/bench/member.c
@@ -54,19 +54,19 @@
 static bool
 is_joined (struct network *network)
 {
-  return network_joined (network) == network->count;
+  return network_joined_count (network) == network->count;
 }
 
 static bool
 is_unusable (struct network *network)
 {
-  return network_usable_by (network, subject) == 0;
+  return network_usable_count (network, subject) == 0;
 }
 
 static bool
 is_usable (struct network *network)
 {
-  return network_usable_by (network, subject) + 1 == running;
+  return network_usable_count (network, subject) + 1 == running;
 }
 
 static bool
@@ -74,7 +74,7 @@
 {
   for (uint32_t i = 0; i < network->count; i++)
     if (network->nodes[i].core != NULL
-        && network->nodes[i].core->members->news_count > 0)
+        && network->nodes[i].core->members->queued_update_count > 0)
       return false;
   return true;
 }
@@ -162,7 +162,7 @@
 
   for (uint64_t i = 0; i < REPEAT_COUNT; i++)
     {
-      network_config (network, 0, i + 1);
+      network_install_config (network, 0, i + 1);
       keep_slowest (&slowest_us, run_until (network, is_config_everywhere));
       network_run (network, SETTLE_US);
     }
--- a/tests/fuzz/wire.c
+++ b/tests/fuzz/wire.c
@@ -20,7 +20,7 @@
 static void
 check (const struct jl_message *message)
 {
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX];
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX];
   struct jl_message again;
   size_t size;
 
--- a/tests/support/network.c
+++ b/tests/support/network.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Several reducers over a queue of control messages in virtual time.
+ * DOC: A simulated network of reducers in virtual time.
  */
 
 #include "network.h"
@@ -16,14 +16,22 @@
 #define FIRST_IP 0x7f0a0100u
 #define CONTROL_PORT 7000
 #define PEER_PORT 7001
+/* Delivery time of a message, plus up to the jitter. */
 #define DELAY_US (1 * JL_USEC_PER_MSEC)
 #define JITTER_US (1 * JL_USEC_PER_MSEC)
-#define FETCH_US (5 * JL_USEC_PER_MSEC)
-#define ANNOUNCE_US (500 * JL_USEC_PER_MSEC)
+/* Duration of a configuration fetch. */
+#define FETCH_DELAY_US (5 * JL_USEC_PER_MSEC)
+/* Interval of target announcements. */
+#define ANNOUNCE_INTERVAL_US (500 * JL_USEC_PER_MSEC)
+/* Virtual time at the start of a run. */
 #define START_US (1000 * JL_USEC_PER_SEC)
 
 /**
- * struct packet - a datagram under way
+ * struct packet - a datagram in transit
+ * @timer: time of arrival
+ * @from: index of the sending node
+ * @to: index of the receiving node
+ * @data: the encoded message, @size bytes
  */
 struct packet
 {
@@ -35,7 +43,10 @@
 };
 
 /**
- * struct fetch - a configuration under way
+ * struct fetch - a configuration fetch in progress
+ * @timer: time of completion
+ * @from: node that serves the configuration
+ * @to: node that requested it
  */
 struct fetch
 {
@@ -59,15 +70,15 @@
 static bool
 is_blocked (const struct network *network, uint32_t from, uint32_t to)
 {
-  const uint32_t *blocked = network->blocked;
+  const uint32_t *blocked = network->blocked_pair;
 
-  return network->blocks
+  return network->has_blocked_pair
          && ((from == blocked[0] && to == blocked[1])
              || (from == blocked[1] && to == blocked[0]));
 }
 
 static bool
-can_reach (const struct network *network, uint32_t from, uint32_t to)
+is_reachable (const struct network *network, uint32_t from, uint32_t to)
 {
   return to < network->count && network->nodes[to].core != NULL
          && network->nodes[from].group == network->nodes[to].group
@@ -75,7 +86,7 @@
 }
 
 static uint64_t
-cpu_now (const struct network *network)
+cpu_time_ns (const struct network *network)
 {
   struct timespec now;
 
@@ -100,11 +111,11 @@
 {
   struct jl_message message;
   struct jl_event event = { .type = JL_EVENT_MESSAGE, .message = &message };
-  uint64_t begin = cpu_now (node->network);
+  uint64_t begin = cpu_time_ns (node->network);
 
   if (!jl_wire_decode (data, size, &message))
-    g_error ("a message to node %u does not decode", node->index);
-  node->network->coding_ns += cpu_now (node->network) - begin;
+    g_error ("cannot decode a message to node %u", node->index);
+  node->network->coding_ns += cpu_time_ns (node->network) - begin;
   step (node, &event);
 }
 
@@ -115,12 +126,12 @@
   struct packet *packet = caa_container_of (timer, struct packet, timer);
   struct network_node *node = &network->nodes[packet->to];
 
-  if (can_reach (network, packet->from, packet->to) && node->frozen)
+  if (is_reachable (network, packet->from, packet->to) && node->frozen)
     {
       g_ptr_array_add (node->backlog, packet);
       return;
     }
-  if (can_reach (network, packet->from, packet->to))
+  if (is_reachable (network, packet->from, packet->to))
     deliver_bytes (node, packet->data, packet->size);
   g_free (packet);
 }
@@ -130,16 +141,16 @@
 {
   struct network *network = node->network;
   uint32_t to = effect->to.ip - FIRST_IP;
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX];
-  uint64_t begin = cpu_now (network);
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX];
+  uint64_t begin = cpu_time_ns (network);
   size_t size = jl_wire_encode (&effect->message, 0, data);
   struct packet *packet;
 
-  network->coding_ns += cpu_now (network) - begin;
+  network->coding_ns += cpu_time_ns (network) - begin;
   network->sent++;
   network->sent_bytes += size;
   network->digest = XXH3_64bits_withSeed (data, size, network->digest);
-  if (!can_reach (network, node->index, to)
+  if (!is_reachable (network, node->index, to)
       || (uint32_t)g_rand_int_range (network->random, 0, 1000)
              < network->loss_permille)
     return;
@@ -177,7 +188,7 @@
   struct network_node *from = &network->nodes[fetch->from];
   struct network_node *to = &network->nodes[fetch->to];
 
-  if (can_reach (network, fetch->from, fetch->to) && from->core != NULL
+  if (is_reachable (network, fetch->from, fetch->to) && from->core != NULL
       && !from->frozen && !to->frozen && from->config != NULL)
     install (to, from->config);
   g_free (fetch);
@@ -192,20 +203,20 @@
   network->fetches++;
   fetch->from = peer.ip - FIRST_IP;
   fetch->to = node->index;
-  jl_timer_start (network->timers, &fetch->timer, network->now_us + FETCH_US,
-                  fetched, network);
+  jl_timer_start (network->timers, &fetch->timer,
+                  network->now_us + FETCH_DELAY_US, fetched, network);
 }
 
 static void
 run_reducer (struct network_node *node, struct jl_event *event)
 {
   struct network *network = node->network;
-  uint64_t begin = cpu_now (network);
+  uint64_t begin = cpu_time_ns (network);
 
   event->now_us = network->now_us + node->offset_us;
   jl_effects_clear (network->effects);
   jl_core_step (node->core, event, network->effects);
-  network->cpu_ns += cpu_now (network) - begin;
+  network->cpu_ns += cpu_time_ns (network) - begin;
 }
 
 static void
@@ -349,7 +360,7 @@
   event.announce.started = 1;
   step (node, &event);
   jl_timer_start (node->network->timers, timer,
-                  node->network->now_us + ANNOUNCE_US, announce, node);
+                  node->network->now_us + ANNOUNCE_INTERVAL_US, announce, node);
 }
 
 void
@@ -387,7 +398,9 @@
       "\"class\":\"all\",\"idempotent\":true,\"deadline_ms\":1000}]}";
 
 void
-network_config (struct network *network, uint32_t index, uint64_t version)
+network_install_config (struct network *network,
+                        uint32_t index,
+                        uint64_t version)
 {
   GError *error = NULL;
   struct jl_config *config
@@ -400,9 +413,9 @@
 }
 
 void
-network_give (struct network *network,
-              uint32_t index,
-              const struct jl_message *message)
+network_deliver (struct network *network,
+                 uint32_t index,
+                 const struct jl_message *message)
 {
   struct jl_event event = { .type = JL_EVENT_MESSAGE, .message = message };
 
@@ -432,7 +445,7 @@
 }
 
 uint32_t
-network_usable_by (struct network *network, uint32_t subject)
+network_usable_count (struct network *network, uint32_t subject)
 {
   uint32_t count = 0;
 
@@ -461,7 +474,7 @@
 }
 
 uint32_t
-network_joined (struct network *network)
+network_joined_count (struct network *network)
 {
   uint32_t count = 0;
 
--- a/tests/unit/control.c
+++ b/tests/unit/control.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Control messages on the wire: round trip, bounds, end of the thread.
+ * DOC: Tests of control messages: transport, validation of values, and closing.
  */
 
 #include <arpa/inet.h>
@@ -14,9 +14,12 @@
 
 #define TEST_IP 0x7f0a0101u
 #define TEST_PORT 7601
-/* A datagram on the loopback takes far less. */
+/* Far longer than a datagram takes on the loopback interface. */
 #define WAIT_US (gint64) (10 * JL_USEC_PER_SEC)
 
+/**
+ * struct inbox - messages received by a control endpoint
+ */
 struct inbox
 {
   GMutex mutex;
@@ -37,7 +40,7 @@
   g_mutex_unlock (&inbox->mutex);
 }
 
-/* Waits until @count messages have come; the last one is in @inbox. */
+/* Waits until @inbox has received @count messages in all. */
 static void
 wait_for (struct inbox *inbox, uint32_t count)
 {
@@ -72,7 +75,7 @@
   info->target_up = index % 2;
 }
 
-/* A message of @type with as much in it as it can hold. */
+/* Fills a message of @type with the most updates and strikes it can hold. */
 static void
 fill_message (struct jl_message *message, enum jl_message_type type)
 {
@@ -145,7 +148,7 @@
   struct sockaddr_in to = { .sin_family = AF_INET,
                             .sin_addr.s_addr = htonl (TEST_IP),
                             .sin_port = htons (TEST_PORT + 2) };
-  _Alignas(8) uint8_t data[2 * JL_WIRE_SIZE_MAX] = { 0 };
+  _Alignas(8) uint8_t data[2 * JL_WIRE_BYTES_MAX] = { 0 };
   int fd = socket (AF_INET, SOCK_DGRAM, 0);
   struct jl_message message;
   struct jl_control_counts counts;
@@ -159,7 +162,7 @@
   sendto (fd, data, size + 4, 0, (struct sockaddr *)&to, sizeof to);
   sendto (fd, data, sizeof data, 0, (struct sockaddr *)&to, sizeof to);
   sendto (fd, data + 4, size - 4, 0, (struct sockaddr *)&to, sizeof to);
-  /* Datagrams of one sender come in order on the loopback. */
+  /* The loopback interface delivers datagrams of one sender in order. */
   sendto (fd, data, size, 0, (struct sockaddr *)&to, sizeof to);
   wait_for (&inbox, 1);
   jl_control_get_counts (control, &counts);
@@ -187,24 +190,24 @@
     }
 }
 
-/* Whether @message is refused after encoding. */
+/* Whether encoding or decoding rejects @message. */
 static bool
-is_refused (const struct jl_message *message)
+is_rejected (const struct jl_message *message)
 {
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX];
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX];
   struct jl_message decoded;
   size_t size = jl_wire_encode (message, 1, data);
 
   return size == 0 || !jl_wire_decode (data, size, &decoded);
 }
 
-#define CHECK_REFUSED(change)                                                  \
+#define CHECK_REJECTED(change)                                                 \
   do                                                                           \
     {                                                                          \
       fill_message (&message, JL_MESSAGE_SYNC);                                \
-      cr_assert_not (is_refused (&message));                                   \
+      cr_assert_not (is_rejected (&message));                                  \
       change;                                                                  \
-      cr_assert (is_refused (&message), #change);                              \
+      cr_assert (is_rejected (&message), #change);                             \
     }                                                                          \
   while (0)
 
@@ -212,32 +215,32 @@
 {
   struct jl_message message;
 
-  CHECK_REFUSED (message.type = JL_MESSAGE_TYPE_COUNT);
-  CHECK_REFUSED (message.from.member = 0);
-  CHECK_REFUSED (message.from.member |= UINT64_C (1) << 48);
-  CHECK_REFUSED (message.from.epoch = 0);
-  CHECK_REFUSED (message.to.member = 5);
-  CHECK_REFUSED (message.subject = 5);
-  CHECK_REFUSED (message.attempt.origin.epoch = 0);
-  CHECK_REFUSED (message.update_count = JL_MESSAGE_UPDATE_MAX + 1);
-  CHECK_REFUSED (message.strike_count = JL_MESSAGE_STRIKE_MAX + 1);
-  CHECK_REFUSED (message.updates[3].state = JL_MEMBER_STATE_COUNT);
-  CHECK_REFUSED (message.updates[3].identity.epoch = 0);
-  CHECK_REFUSED (message.updates[3].identity.member = 0);
-  CHECK_REFUSED (message.updates[3].incarnation = UINT32_MAX);
-  CHECK_REFUSED (message.updates[3].peer.port = 0);
-  CHECK_REFUSED (message.updates[3].peer.ip = 0);
-  CHECK_REFUSED (message.updates[3].zone[1] = '"');
-  CHECK_REFUSED (message.updates[3].service[1] = '\n');
-  CHECK_REFUSED (message.updates[3].slots = UINT32_MAX);
-  CHECK_REFUSED (message.updates[3].connections = UINT32_MAX);
-  CHECK_REFUSED (message.strikes[2].target = 0);
+  CHECK_REJECTED (message.type = JL_MESSAGE_TYPE_COUNT);
+  CHECK_REJECTED (message.from.member = 0);
+  CHECK_REJECTED (message.from.member |= UINT64_C (1) << 48);
+  CHECK_REJECTED (message.from.epoch = 0);
+  CHECK_REJECTED (message.to.member = 5);
+  CHECK_REJECTED (message.subject = 5);
+  CHECK_REJECTED (message.attempt.origin.epoch = 0);
+  CHECK_REJECTED (message.update_count = JL_MESSAGE_UPDATE_MAX + 1);
+  CHECK_REJECTED (message.strike_count = JL_MESSAGE_STRIKE_MAX + 1);
+  CHECK_REJECTED (message.updates[3].state = JL_MEMBER_STATE_COUNT);
+  CHECK_REJECTED (message.updates[3].identity.epoch = 0);
+  CHECK_REJECTED (message.updates[3].identity.member = 0);
+  CHECK_REJECTED (message.updates[3].incarnation = UINT32_MAX);
+  CHECK_REJECTED (message.updates[3].peer.port = 0);
+  CHECK_REJECTED (message.updates[3].peer.ip = 0);
+  CHECK_REJECTED (message.updates[3].zone[1] = '"');
+  CHECK_REJECTED (message.updates[3].service[1] = '\n');
+  CHECK_REJECTED (message.updates[3].slots = UINT32_MAX);
+  CHECK_REJECTED (message.updates[3].connections = UINT32_MAX);
+  CHECK_REJECTED (message.strikes[2].target = 0);
 }
 
-/* Every single changed byte is either refused or within the bounds. */
+/* A message with one changed byte is either rejected or within its bounds. */
 Test (control, changed_bytes_never_break_the_decoder)
 {
-  _Alignas(8) uint8_t data[JL_WIRE_SIZE_MAX];
+  _Alignas(8) uint8_t data[JL_WIRE_BYTES_MAX];
   GRand *random = g_rand_new_with_seed (1);
   struct jl_message message;
   struct jl_message decoded;
--- a/tests/unit/member.c
+++ b/tests/unit/member.c
@@ -1,8 +1,8 @@
 /**
- * DOC: Membership of several reducers over a queue in virtual time.
+ * DOC: Tests of group membership on a simulated network in virtual time.
  *
- * Throughout every run, no member that left more than NEWS_US ago is given
- * new work by anyone.
+ * Throughout every run, no node gives new work to a member that left more than
+ * PROPAGATION_MAX_US ago.
  */
 
 #include <criterion/criterion.h>
@@ -11,24 +11,28 @@
 #include "support/network.h"
 
 #define SEC JL_USEC_PER_SEC
+/* The invariant is checked after each slice of virtual time. */
 #define SLICE_US (100 * JL_USEC_PER_MSEC)
-/* By then everyone must know. */
-#define NEWS_US (3 * SEC)
+/* Time within which every running node must know of a change. */
+#define PROPAGATION_MAX_US (3 * SEC)
+/* Time within which all nodes join each other after the start. */
 #define JOIN_US (20 * SEC)
+/* Time for the member lists to settle before a fault. */
 #define SETTLE_US (15 * SEC)
 
 static const uint32_t sizes[] = { 3, 30, 470 };
 
+/* Whether a node may miss changes: it is stopped, frozen or just resumed. */
 static bool
-may_be_late (const struct network *network, uint32_t index)
+may_be_outdated (const struct network *network, uint32_t index)
 {
   const struct network_node *node = &network->nodes[index];
 
   return node->core == NULL || node->frozen
-         || network->now_us < node->resumed_us + NEWS_US;
+         || network->now_us < node->resumed_us + PROPAGATION_MAX_US;
 }
 
-/* No usable member that left. */
+/* Checks that no node gives work to a member that left. */
 static void
 check_left (struct network *network)
 {
@@ -36,10 +40,10 @@
     {
       uint64_t left_us = network->nodes[left].left_us;
 
-      if (left_us == 0 || network->now_us < left_us + NEWS_US)
+      if (left_us == 0 || network->now_us < left_us + PROPAGATION_MAX_US)
         continue;
       for (uint32_t i = 0; i < network->count; i++)
-        cr_assert (may_be_late (network, i)
+        cr_assert (may_be_outdated (network, i)
                        || !network_usable (network, i, left),
                    "node %u gives work to node %u, which left", i, left);
     }
@@ -55,7 +59,7 @@
     }
 }
 
-/* Starts all nodes, each seeded with node 0 alone, and their targets. */
+/* Starts all nodes, with node 0 as their only seed, and their targets. */
 static struct network *
 start_all (uint32_t count, uint32_t seed, uint32_t switched_off)
 {
@@ -68,11 +72,11 @@
       network_announce (network, i);
     }
   run (network, JOIN_US);
-  cr_assert_eq (network_joined (network), count);
+  cr_assert_eq (network_joined_count (network), count);
   return network;
 }
 
-/* All that run give work to @subject, or none does. */
+/* Checks that all other running nodes would give work to @subject, or none. */
 static void
 check_usable (struct network *network, uint32_t subject, bool usable)
 {
@@ -80,11 +84,12 @@
 
   for (uint32_t i = 0; i < network->count; i++)
     running += i != subject && network->nodes[i].core != NULL;
-  cr_assert_eq (network_usable_by (network, subject), usable ? running : 0,
+  cr_assert_eq (network_usable_count (network, subject), usable ? running : 0,
                 "node %u is usable to %u of %u", subject,
-                network_usable_by (network, subject), running);
+                network_usable_count (network, subject), running);
 }
 
+/* Returns the entry of @subject in the member list of @observer. */
 static struct jl_member *
 seen_by (struct network *network, uint32_t observer, uint32_t subject)
 {
@@ -113,7 +118,7 @@
       run (network, SETTLE_US);
       check_usable (network, 1, true);
       network_stop (network, 1);
-      run (network, NEWS_US);
+      run (network, PROPAGATION_MAX_US);
       check_usable (network, 1, false);
       network_drop (network);
     }
@@ -126,7 +131,7 @@
   run (network, SETTLE_US);
   for (uint32_t i = 100; i < 120; i++)
     network_stop (network, i);
-  run (network, NEWS_US);
+  run (network, PROPAGATION_MAX_US);
   for (uint32_t i = 100; i < 120; i++)
     check_usable (network, i, false);
   for (uint32_t i = 0; i < 100; i++)
@@ -140,8 +145,8 @@
   struct network *network = start_all (30, 4, JL_MECHANISM_PROBES);
 
   network_stop (network, 1);
-  run (network, NEWS_US);
-  cr_assert_gt (network_usable_by (network, 1), 0);
+  run (network, PROPAGATION_MAX_US);
+  cr_assert_gt (network_usable_count (network, 1), 0);
   network_drop (network);
 }
 #endif
@@ -154,11 +159,11 @@
 
       run (network, SETTLE_US);
       network_target_leave (network, 2);
-      run (network, NEWS_US);
+      run (network, PROPAGATION_MAX_US);
       check_usable (network, 2, false);
-      cr_assert_eq (network_joined (network), sizes[i]);
+      cr_assert_eq (network_joined_count (network), sizes[i]);
       network_announce (network, 2);
-      run (network, NEWS_US);
+      run (network, PROPAGATION_MAX_US);
       check_usable (network, 2, true);
       network_drop (network);
     }
@@ -174,7 +179,7 @@
   check_usable (network, 7, false);
   cr_assert_eq (seen_by (network, 0, 7)->info.state, JL_MEMBER_SUSPECT);
   network->nodes[7].group = 0;
-  run (network, NEWS_US);
+  run (network, PROPAGATION_MAX_US);
   check_usable (network, 7, true);
   cr_assert_gt (seen_by (network, 0, 7)->info.incarnation, incarnation);
   for (uint32_t i = 0; i < 30; i++)
@@ -187,9 +192,9 @@
   struct network *network = start_all (5, 24, 0);
   uint32_t incarnation = seen_by (network, 0, 1)->info.incarnation;
 
-  network->blocks = true;
-  network->blocked[0] = 0;
-  network->blocked[1] = 1;
+  network->has_blocked_pair = true;
+  network->blocked_pair[0] = 0;
+  network->blocked_pair[1] = 1;
   for (int i = 0; i < 300; i++)
     {
       run (network, SLICE_US);
@@ -216,25 +221,29 @@
     }
 }
 
-/* The answer lay in the socket while the process was frozen. */
+/*
+ * A process that was paused during a probe finds the timeout expired before it
+ * reads the acknowledgement from its socket, and must not suspect the member.
+ */
 Test (member, a_frozen_process_suspects_nobody)
 {
   struct network *network = start_all (5, 27, 0);
   struct jl_member *member = seen_by (network, 1, 0);
   uint32_t incarnation = member->info.incarnation;
 
-  network->blocks = true;
-  network->blocked[0] = 0;
-  network->blocked[1] = 1;
+  network->has_blocked_pair = true;
+  network->blocked_pair[0] = 0;
+  network->blocked_pair[1] = 1;
   while (member->probe_sequence == 0 || !member->probe_relayed)
     network_run (network, JL_USEC_PER_MSEC / 10);
   network_freeze (network, 1);
   run (network, 2 * SEC);
   network_resume (network, 1);
   cr_assert_eq (member->info.state, JL_MEMBER_ALIVE);
-  run (network, NEWS_US);
+  run (network, PROPAGATION_MAX_US);
   cr_assert_eq (member->info.state, JL_MEMBER_ALIVE);
-  cr_assert_eq (member->info.incarnation, incarnation, "it had to refute");
+  cr_assert_eq (member->info.incarnation, incarnation,
+                "the member had to refute a suspicion");
   network_drop (network);
 }
 
@@ -250,8 +259,8 @@
         cr_assert_neq (seen_by (network, 0, j)->info.state, JL_MEMBER_DEAD);
     }
   network->loss_permille = 0;
-  run (network, NEWS_US);
-  cr_assert_eq (network_joined (network), 30);
+  run (network, PROPAGATION_MAX_US);
+  cr_assert_eq (network_joined_count (network), 30);
   network_drop (network);
 }
 
@@ -268,7 +277,7 @@
   cr_assert_eq (seen_by (network, 0, 3)->info.state, JL_MEMBER_LEFT);
   network_start (network, 3, 0);
   network_announce (network, 3);
-  run (network, NEWS_US);
+  run (network, PROPAGATION_MAX_US);
   check_usable (network, 3, true);
   network_drop (network);
 }
@@ -301,19 +310,19 @@
       incarnation = seen_by (network, 0, 1)->info.incarnation;
       network_freeze (network, 1);
       run (network, 5 * SEC);
-      cr_assert_eq (network_usable_by (network, 1), 0);
+      cr_assert_eq (network_usable_count (network, 1), 0);
       network_resume (network, 1);
-      run (network, NEWS_US);
+      run (network, PROPAGATION_MAX_US);
       check_usable (network, 1, true);
       cr_assert_gt (seen_by (network, 0, 1)->info.incarnation, incarnation);
-      /* It must not take the others for dead because it was late itself. */
+      /* The resumed process must not declare others dead for its own pause. */
       for (uint32_t j = 0; j < sizes[i]; j++)
         check_usable (network, j, true);
       network_drop (network);
     }
 }
 
-/* Cuts the network in two after the seed is gone for good. */
+/* Partitions the network after the only seed has stopped, then heals it. */
 static void
 cut_and_rejoin (uint32_t count, uint32_t seed)
 {
@@ -324,12 +333,12 @@
   for (uint32_t i = 0; i < count / 2; i++)
     network->nodes[i].group = 1;
   run (network, 60 * SEC);
-  cr_assert_eq (network_usable_by (network, 1), count / 2 - 2);
+  cr_assert_eq (network_usable_count (network, 1), count / 2 - 2);
   cr_assert_eq (seen_by (network, 1, count - 1)->info.state, JL_MEMBER_DEAD);
   for (uint32_t i = 0; i < count / 2; i++)
     network->nodes[i].group = 0;
   run (network, 5 * SEC);
-  cr_assert_eq (network_joined (network), count - 1);
+  cr_assert_eq (network_joined_count (network), count - 1);
   for (uint32_t i = 1; i < count; i++)
     check_usable (network, i, true);
   network_drop (network);
@@ -352,23 +361,23 @@
 
   for (int i = 0; i < 5; i++)
     {
-      /* The earlier life has the higher incarnation. */
+      /* The earlier epoch has the higher incarnation. */
       network_target_leave (network, 4);
       network_announce (network, 4);
       run (network, SEC);
       network_stop (network, 4);
       network_start (network, 4, 5);
-      run (network, NEWS_US);
-      cr_assert_eq (network_joined (network), 30);
+      run (network, PROPAGATION_MAX_US);
+      cr_assert_eq (network_joined_count (network), 30);
       check_usable (network, 4, false);
       network_announce (network, 4);
-      run (network, NEWS_US);
+      run (network, PROPAGATION_MAX_US);
       check_usable (network, 4, true);
     }
   network_drop (network);
 }
 
-/* A message to a life that has ended proves nothing about the present one. */
+/* An acknowledgement to or from an earlier epoch must not end a probe. */
 Test (member, acknowledgements_of_another_life_do_not_count)
 {
   struct network *network = start_all (3, 20, 0);
@@ -382,14 +391,16 @@
   ack.to.member = network_member (0);
   ack.to.epoch = network->nodes[0].epoch - 1;
   ack.sequence = member->probe_sequence;
-  network_give (network, 0, &ack);
-  cr_assert_neq (member->probe_sequence, 0, "taken for an earlier life");
+  network_deliver (network, 0, &ack);
+  cr_assert_neq (member->probe_sequence, 0,
+                 "accepted an acknowledgement to an earlier epoch");
   ack.to.epoch++;
   ack.from.epoch--;
-  network_give (network, 0, &ack);
-  cr_assert_neq (member->probe_sequence, 0, "taken from an earlier life");
+  network_deliver (network, 0, &ack);
+  cr_assert_neq (member->probe_sequence, 0,
+                 "accepted an acknowledgement from an earlier epoch");
   ack.from.epoch++;
-  network_give (network, 0, &ack);
+  network_deliver (network, 0, &ack);
   cr_assert_eq (member->probe_sequence, 0);
   network_drop (network);
 }
@@ -397,20 +408,20 @@
 Test (member, hearsay_of_the_dead_is_not_passed_on)
 {
   struct network *network = start_all (3, 21, 0);
-  struct jl_message news = { .type = JL_MESSAGE_SYNC, .update_count = 1 };
-
-  news.from = seen_by (network, 0, 1)->info.identity;
-  news.to.member = network_member (0);
-  news.updates[0] = seen_by (network, 0, 1)->info;
-  news.updates[0].identity.member = network_member (200);
-  news.updates[0].state = JL_MEMBER_DEAD;
-  network_give (network, 0, &news);
-  cr_assert (seen_by (network, 0, 200)->hearsay);
+  struct jl_message sync = { .type = JL_MESSAGE_SYNC, .update_count = 1 };
+
+  sync.from = seen_by (network, 0, 1)->info.identity;
+  sync.to.member = network_member (0);
+  sync.updates[0] = seen_by (network, 0, 1)->info;
+  sync.updates[0].identity.member = network_member (200);
+  sync.updates[0].state = JL_MEMBER_DEAD;
+  network_deliver (network, 0, &sync);
+  cr_assert (seen_by (network, 0, 200)->never_alive);
   run (network, 30 * SEC);
   cr_assert_null (seen_by (network, 1, 200));
-  /* Older news does not bring it to life. */
-  news.updates[0].state = JL_MEMBER_ALIVE;
-  network_give (network, 0, &news);
+  /* An older update must not change the state back to alive. */
+  sync.updates[0].state = JL_MEMBER_ALIVE;
+  network_deliver (network, 0, &sync);
   cr_assert_eq (seen_by (network, 0, 200)->info.state, JL_MEMBER_DEAD);
   run (network, 400 * SEC);
   cr_assert_null (seen_by (network, 0, 200));
@@ -457,7 +468,7 @@
   network_run (network, UINT64_C (2) * 3600 * SEC);
   cr_assert_null (seen_by (network, 0, 2));
   cr_assert_null (seen_by (network, 1, 2));
-  cr_assert_eq (network_joined (network), 2);
+  cr_assert_eq (network_joined_count (network), 2);
   network_drop (network);
 }
 
@@ -517,8 +528,8 @@
         {
           uint64_t fetches = network->fetches;
 
-          network_config (network, sizes[i] - 1, version);
-          run (network, NEWS_US);
+          network_install_config (network, sizes[i] - 1, version);
+          run (network, PROPAGATION_MAX_US);
           cr_assert_eq (nodes_with_version (network, version), sizes[i]);
           cr_assert_leq (network->fetches - fetches, UINT64_C (2) * sizes[i]);
         }
@@ -530,14 +541,14 @@
 {
   struct network *network = start_all (3, 17, 0);
 
-  network_config (network, 1, 1);
-  /* Node 2 has been told, but can no longer get it from node 1. */
+  network_install_config (network, 1, 1);
+  /* Node 2 knows of the version, but can no longer fetch it from node 1. */
   network_run (network, 4 * JL_USEC_PER_MSEC);
   network_stop (network, 1);
-  run (network, NEWS_US);
+  run (network, PROPAGATION_MAX_US);
   cr_assert_eq (nodes_with_version (network, 1), 0);
-  network_config (network, 0, 1);
-  run (network, NEWS_US);
+  network_install_config (network, 0, 1);
+  run (network, PROPAGATION_MAX_US);
   cr_assert_eq (nodes_with_version (network, 1), 2);
   network_drop (network);
 }
