--- a/include/jackdawladder/peer.h
+++ b/include/jackdawladder/peer.h
@@ -2,10 +2,10 @@
 #define JACKDAWLADDER_PEER_H
 
 /**
- * DOC: Headers of the calls that one daemon sends to another.
+ * DOC: HTTP headers of the calls between daemons.
  *
- * Kinds and services go by name, since two daemons may have different
- * configurations in force for a moment.
+ * Kinds and services are sent by name, not by index, because two daemons may
+ * briefly run with different configurations.
  */
 
 #include "jackdawladder/effect.h"
@@ -17,8 +17,14 @@
 #define JL_PEER_REPORT_HEADER "Jl-Report"
 
 /**
- * struct jl_peer_call - what goes with a call to a guard
- * @kind: name of the kind
+ * struct jl_peer_call - header of a call that is sent to a guard
+ * @attempt: identifies this sending of the call
+ * @invested_us: work already done for the request by upstream services
+ * @budget_us: time left until the deadline
+ * @anchor: names the daemon that holds the at-most-once state of this tree
+ * @tokens: retry tokens lent to the receiver
+ * @digest: hash of method, path and body
+ * @kind: name of the request kind
  */
 struct jl_peer_call
 {
@@ -32,17 +38,25 @@
   char kind[JL_NAME_SIZE];
 };
 
+/**
+ * jl_peer_add_call - appends the Jl-Call header
+ */
 void jl_peer_add_call (struct jl_http_message *message,
                        const struct jl_peer_call *call);
 
 /**
- * jl_peer_get_call - Return: false when the header is missing or malformed
+ * jl_peer_get_call - parses the Jl-Call header
+ *
+ * Return: false when the header is missing or malformed.
  */
 bool jl_peer_get_call (const struct jl_http_message *message,
                        struct jl_peer_call *call);
 
 /**
- * struct jl_peer_forward - what goes with a call to the minter of its ticket
+ * struct jl_peer_forward - header of a call that is forwarded
+ * @ticket: the request's ticket; the call goes to the daemon that issued it
+ *
+ * The other fields are those of struct jl_peer_call.
  */
 struct jl_peer_forward
 {
@@ -56,13 +70,27 @@
   char kind[JL_NAME_SIZE];
 };
 
+/**
+ * jl_peer_add_forward - appends the Jl-Forward header
+ */
 void jl_peer_add_forward (struct jl_http_message *message,
                           const struct jl_peer_forward *forward);
+
+/**
+ * jl_peer_get_forward - parses the Jl-Forward header
+ *
+ * Return: false when the header is missing or malformed.
+ */
 bool jl_peer_get_forward (const struct jl_http_message *message,
                           struct jl_peer_forward *forward);
 
 /**
- * struct jl_peer_answer - what goes with the answer to either
+ * struct jl_peer_answer - headers of the response to either kind of call
+ * @attempt: copied from the request
+ * @no_retry: a retry would be of no use
+ * @retry_after_ms: delay before a retry, 0 if not given
+ * @tokens: unspent retry tokens that are returned
+ * @report: load of the services that the response passed through
  */
 struct jl_peer_answer
 {
@@ -75,9 +103,20 @@
   struct jl_report report;
 };
 
+/**
+ * jl_peer_add_answer - appends the Jl-Answer and Jl-Report headers
+ * @config: gives the names of services; NULL omits Jl-Report
+ */
 void jl_peer_add_answer (struct jl_http_message *message,
                          const struct jl_peer_answer *answer,
                          const struct jl_config *config);
+
+/**
+ * jl_peer_get_answer - parses the Jl-Answer and Jl-Report headers
+ * @config: maps the names of services to indices
+ *
+ * Return: false when Jl-Answer is missing or malformed.
+ */
 bool jl_peer_get_answer (const struct jl_http_message *message,
                          struct jl_peer_answer *answer,
                          const struct jl_config *config);
--- a/source/daemon/background.c
+++ b/source/daemon/background.c
@@ -1,6 +1,6 @@
 /**
- * DOC: The background thread: the platform's table and configurations of
- * other daemons. Nothing that a call needs waits for it.
+ * DOC: The background thread: reads and writes the platform's table and fetches
+ * configurations from other daemons. No call ever waits for this thread.
  */
 
 #include <inttypes.h>
@@ -12,21 +12,24 @@
 #include "daemon/hooks.h"
 #include "jackdawladder/log.h"
 
-/* The platform gets about this many polls a second from all daemons. */
-#define POLLS_PER_SECOND 20
-#define POLL_MIN_US (1 * JL_USEC_PER_SEC)
-#define POLL_MAX_US (25 * JL_USEC_PER_SEC)
-/* How often the own row is written, and those of others are read. */
-#define ROW_INTERVAL_US (60 * JL_USEC_PER_SEC)
+/* Rate of polls that the platform gets from all daemons together. */
+#define PLATFORM_POLLS_PER_SECOND 20
+#define POLL_INTERVAL_MIN_US (1 * JL_USEC_PER_SEC)
+#define POLL_INTERVAL_MAX_US (25 * JL_USEC_PER_SEC)
+/* Interval at which the daemon writes its own row and reads those of others. */
+#define MEMBER_ROW_INTERVAL_US (60 * JL_USEC_PER_SEC)
 #define FETCH_TIMEOUT_US (2 * JL_USEC_PER_SEC)
-#define EXPIRE_INTERVAL_US (500 * JL_USEC_PER_MSEC)
+#define POOL_EXPIRE_INTERVAL_US (500 * JL_USEC_PER_MSEC)
 
 /**
  * struct background - state of the thread
- * @row: what the own row is to say
- * @has_row: whether there is one
- * @row_written: whether the table has it
- * @rows_read: whether rows of others were ever read
+ * @row: contents of this daemon's row in the table
+ * @has_row: whether the reducer has given @row
+ * @row_written: whether the table holds @row
+ * @members_read: whether the rows of other daemons were ever read
+ * @platform_unreachable: whether the last poll did not reach the platform
+ * @poll_at_us: time of the next poll of the configuration
+ * @row_at_us: time of the next exchange of member rows
  */
 struct background
 {
@@ -35,22 +38,26 @@
   struct jl_member_info row;
   bool has_row;
   bool row_written;
-  bool rows_read;
-  bool platform_lost;
+  bool members_read;
+  bool platform_unreachable;
   uint64_t poll_at_us;
   uint64_t row_at_us;
 };
 
-/* Logs when the platform goes out of reach, and when it is back. */
+/* Logs when the platform becomes unreachable and when it is reachable again. */
 static void
-note_platform (struct background *background, bool reached)
+set_platform_reachable (struct background *background, bool reachable)
 {
-  if (reached == !background->platform_lost)
+  if (reachable == !background->platform_unreachable)
     return;
-  background->platform_lost = !reached;
-  jl_log (reached ? JL_LOG_PLATFORM_BACK : JL_LOG_PLATFORM_LOST, 0, 0);
+  background->platform_unreachable = !reachable;
+  jl_log (reachable ? JL_LOG_PLATFORM_BACK : JL_LOG_PLATFORM_LOST, 0, 0);
 }
 
+/*
+ * Returns the time until the next poll. It grows with the number of members, so
+ * that the platform's load stays constant, and has a jitter of +/-50%.
+ */
 static uint64_t
 poll_interval (struct background *background)
 {
@@ -58,50 +65,50 @@
   uint64_t interval_us;
   uint32_t count;
 
-  jl_daemon_begin (daemon);
+  jl_daemon_lock (daemon);
   count = jl_core_member_count (daemon->core);
-  jl_daemon_end (daemon);
-  interval_us = count * JL_USEC_PER_SEC / POLLS_PER_SECOND;
-  interval_us = CLAMP (interval_us, POLL_MIN_US, POLL_MAX_US);
+  jl_daemon_unlock (daemon);
+  interval_us = count * JL_USEC_PER_SEC / PLATFORM_POLLS_PER_SECOND;
+  interval_us = CLAMP (interval_us, POLL_INTERVAL_MIN_US, POLL_INTERVAL_MAX_US);
   return interval_us / 2
          + (uint64_t)g_rand_double_range (background->random, 0,
                                           (double)interval_us);
 }
 
-/* Reads the configuration from the platform's table. */
+/* Reads the configuration from the platform and installs a newer version. */
 static void
 poll_platform (struct background *background)
 {
   struct jl_daemon *daemon = background->daemon;
-  struct jl_applied applied = { 0 };
+  struct jl_stored_config stored = { 0 };
   struct jl_config *config;
   GError *error = NULL;
-  uint64_t installed = 0;
+  uint64_t installed_version = 0;
 
-  if (!jl_platform_read_config (daemon->platform, &applied, NULL, &error))
+  if (!jl_platform_read_config (daemon->platform, &stored, NULL, &error))
     {
-      note_platform (background,
-                     error->code == JL_PLATFORM_ERROR_ABSENT
-                         || error->code == JL_PLATFORM_ERROR_REFUSED);
+      set_platform_reachable (background,
+                              error->code == JL_PLATFORM_ERROR_ABSENT
+                                  || error->code == JL_PLATFORM_ERROR_REFUSED);
       g_error_free (error);
       return;
     }
-  note_platform (background, true);
+  set_platform_reachable (background, true);
   config = jl_daemon_get_config (daemon);
   if (config != NULL)
     {
-      installed = config->version;
+      installed_version = config->version;
       jl_config_drop (config);
     }
-  if (applied.version > installed)
-    jl_daemon_install (daemon, applied.text, strlen (applied.text),
-                       applied.version, NULL);
-  g_free (applied.text);
+  if (stored.version > installed_version)
+    jl_daemon_install (daemon, stored.text, strlen (stored.text),
+                       stored.version, NULL);
+  g_free (stored.text);
 }
 
-/* Writes the own row, by which daemons without seeds find this one. */
+/* Writes this daemon's row, by which daemons without seeds discover it. */
 static void
-write_row (struct background *background)
+write_member_row (struct background *background)
 {
   struct jl_daemon *daemon = background->daemon;
   const struct jl_member_info *row = &background->row;
@@ -121,9 +128,9 @@
   g_free (value);
 }
 
-/* Tells the reducer of the daemons that have rows. */
+/* Reports all daemons that have rows in the table to the reducer as seeds. */
 static void
-read_rows (struct background *background)
+read_member_rows (struct background *background)
 {
   struct jl_daemon *daemon = background->daemon;
   GHashTable *rows
@@ -133,7 +140,7 @@
 
   if (rows == NULL)
     return;
-  background->rows_read = true;
+  background->members_read = true;
   g_hash_table_iter_init (&iterator, rows);
   while (g_hash_table_iter_next (&iterator, &key, NULL))
     {
@@ -147,43 +154,44 @@
   g_hash_table_destroy (rows);
 }
 
-/* Gets the configuration from a peer that said it has a newer one. */
+/* Fetches the configuration from a peer that has announced a newer version. */
 static void
 fetch_config (struct background *background,
               const struct jl_effect_fetch_config *fetch)
 {
   struct jl_daemon *daemon = background->daemon;
   struct jl_http_message request;
-  struct jl_http_message answer;
+  struct jl_http_message response;
   struct jl_http_call call = { .endpoint = fetch->peer,
                                .method = "GET",
                                .target = "/jl/config",
                                .request = &request,
                                .timeout_us = FETCH_TIMEOUT_US,
-                               .answer_max = JL_CONFIG_SIZE_MAX };
+                               .response_max_bytes = JL_CONFIG_SIZE_MAX };
   const char *text;
   uint64_t version;
   uint32_t status;
 
-  if (jl_hooks_cut (fetch->peer.ip))
+  if (jl_hooks_partitioned (fetch->peer.ip))
     return;
   jl_http_message_init (&request);
-  jl_http_message_init (&answer);
-  if (jl_http_perform (daemon->pool, &call, &status, &answer)
-          == JL_HTTP_ANSWERED
+  jl_http_message_init (&response);
+  if (jl_http_perform (daemon->pool, &call, &status, &response)
+          == JL_HTTP_COMPLETED
       && status == 200)
     {
-      text = jl_http_header (&answer, "Jl-Config-Version");
+      text = jl_http_header (&response, "Jl-Config-Version");
       if (text != NULL
           && g_ascii_string_to_unsigned (text, 10, 1, INT64_MAX, &version,
                                          NULL))
-        jl_daemon_install (daemon, answer.body->str, answer.body->len, version,
-                           NULL);
+        jl_daemon_install (daemon, response.body->str, response.body->len,
+                           version, NULL);
     }
   jl_http_message_clear (&request);
-  jl_http_message_clear (&answer);
+  jl_http_message_clear (&response);
 }
 
+/* Executes an effect that the reducer gave to the background thread. */
 static void
 handle_effect (struct background *background, const struct jl_effect *effect)
 {
@@ -198,8 +206,9 @@
     }
 }
 
+/* Polls the configuration and exchanges member rows when they are due. */
 static void
-run_due (struct background *background)
+run_periodic (struct background *background)
 {
   uint64_t now_us = jl_now ();
 
@@ -208,17 +217,17 @@
   if (now_us >= background->poll_at_us)
     {
       poll_platform (background);
-      if (!background->rows_read
+      if (!background->members_read
           || (background->has_row && !background->row_written))
         background->row_at_us = 0;
       background->poll_at_us = jl_now () + poll_interval (background);
     }
-  if (now_us >= background->row_at_us && !background->platform_lost)
+  if (now_us >= background->row_at_us && !background->platform_unreachable)
     {
       if (background->has_row)
-        write_row (background);
-      read_rows (background);
-      background->row_at_us = jl_now () + ROW_INTERVAL_US;
+        write_member_row (background);
+      read_member_rows (background);
+      background->row_at_us = jl_now () + MEMBER_ROW_INTERVAL_US;
     }
 }
 
@@ -232,12 +241,12 @@
   rcu_register_thread ();
   background.random = g_rand_new_with_seed ((uint32_t)daemon->settings->ip
                                             ^ daemon->settings->control_port);
-  while (jl_daemon_await_background (daemon, EXPIRE_INTERVAL_US, &effect))
+  while (jl_daemon_await_background (daemon, POOL_EXPIRE_INTERVAL_US, &effect))
     {
       if (effect != NULL)
         handle_effect (&background, effect);
       g_free (effect);
-      run_due (&background);
+      run_periodic (&background);
       jl_http_pool_expire (daemon->pool);
     }
   g_free (effect);
--- a/source/daemon/call.c
+++ b/source/daemon/call.c
@@ -1,46 +1,53 @@
 /**
- * DOC: A call's way: placement, other daemons, the answer to the caller.
+ * DOC: Processes calls: executes the reducer's effects from the arrival of a
+ * call to its response.
+ *
+ * A call is sent to the target of this daemon or to other daemons until the
+ * reducer gives the final answer.
  */
 
 #include <string.h>
 #include <xxhash.h>
 
-#include "daemon/answers.h"
 #include "daemon/exchange.h"
 #include "daemon/hooks.h"
+#include "daemon/response-cache.h"
 
-/* Added to a time-out between daemons, so that the answer to a deadline at
-   the guard still arrives. */
-#define ANSWER_GRACE_US (20 * JL_USEC_PER_MSEC)
+/* Added to the timeout of a request to another daemon, so that a response that
+   the guard sends when the deadline expires still arrives. */
+#define RESPONSE_GRACE_US (20 * JL_USEC_PER_MSEC)
 
 /**
- * struct call - one call at the edge
- * @has_body: whether the request's body was taken whole
- * @status: of the last answer that was done
- * @answer: likewise
+ * struct call - one call in progress
+ * @config: configuration used for the call, or NULL
+ * @kind: index of the request kind in @config
+ * @has_body: whether the request body was read completely
+ * @digest: hash of method, path and body
+ * @status: HTTP status of the last attempt
+ * @response: response to the last attempt
  */
 struct call
 {
   struct jl_daemon *daemon;
   struct jl_http_exchange *exchange;
-  const struct jl_incoming *incoming;
+  const struct jl_call_origin *origin;
   struct jl_waiter waiter;
   struct jl_config *config;
   uint32_t kind;
   bool has_body;
   uint64_t digest;
   uint32_t status;
-  struct jl_http_message answer;
+  struct jl_http_message response;
 };
 
 void
-jl_answer_plain (struct jl_http_exchange *exchange,
+jl_respond_text (struct jl_http_exchange *exchange,
                  uint32_t status,
                  const char *text)
 {
   exchange->status = status;
-  jl_http_add_header (&exchange->answer, "Content-Type", "text/plain");
-  g_string_append_printf (exchange->answer.body, "%s\n", text);
+  jl_http_add_header (&exchange->response, "Content-Type", "text/plain");
+  g_string_append_printf (exchange->response.body, "%s\n", text);
 }
 
 static const char *
@@ -49,29 +56,29 @@
   return call->config->kinds[call->kind].name;
 }
 
-/* Begins a sending; it may have been stopped before it began. */
+/* Prepares an attempt; it is aborted at once if it was already cancelled. */
 static void
-begin_attempt (struct call *call, struct jl_attempt_id attempt)
+start_attempt (struct call *call, struct jl_attempt_id attempt)
 {
   struct jl_waiter *waiter = &call->waiter;
 
   pthread_mutex_lock (&call->daemon->lock);
-  waiter->transfer.aborted = waiter->stopped_attempt == attempt.number;
+  waiter->transfer.aborted = waiter->cancelled_attempt == attempt.number;
   pthread_mutex_unlock (&call->daemon->lock);
-  g_ptr_array_set_size (call->answer.headers, 0);
-  g_string_truncate (call->answer.body, 0);
+  g_ptr_array_set_size (call->response.headers, 0);
+  g_string_truncate (call->response.body, 0);
 }
 
-/* Runs the call at this daemon's own target. */
+/* Runs the call at the target of this daemon. */
 static void
 send_locally (struct call *call,
               const struct jl_effect_send *send,
               struct jl_event_call_result *result)
 {
-  struct jl_run run = { .kind = kind_name (call),
-                        .method = call->exchange->method,
-                        .target = call->exchange->target,
-                        .request = &call->exchange->request };
+  struct jl_work_run run = { .kind = kind_name (call),
+                             .method = call->exchange->method,
+                             .target = call->exchange->target,
+                             .request = &call->exchange->request };
 
   run.event.attempt = send->attempt;
   run.event.priority = send->priority;
@@ -80,9 +87,9 @@
   run.event.anchor = send->anchor;
   run.event.tokens = send->tokens;
   run.event.digest = send->digest;
-  run.answer = call->answer;
-  jl_run_work (call->daemon, &run);
-  call->answer = run.answer;
+  run.response = call->response;
+  jl_work_run_execute (call->daemon, &run);
+  call->response = run.response;
   call->status = run.status;
   result->result = JL_SEND_ANSWERED;
   result->outcome = run.finish.outcome;
@@ -95,13 +102,16 @@
     jl_config_drop (run.config);
 }
 
-/* Takes what the other daemon says from its answer's headers. */
+/*
+ * Reads the outcome from the headers of another daemon's response. A response
+ * with missing headers or of another attempt counts as a broken connection.
+ */
 static void
-read_answer (struct call *call, struct jl_event_call_result *result)
+read_peer_answer (struct call *call, struct jl_event_call_result *result)
 {
   struct jl_peer_answer answer = { 0 };
 
-  if (!jl_peer_get_answer (&call->answer, &answer, call->config)
+  if (!jl_peer_get_answer (&call->response, &answer, call->config)
       || !jl_attempt_id_equal (answer.attempt, result->attempt))
     {
       result->result = JL_SEND_BROKEN;
@@ -116,11 +126,11 @@
 }
 
 static enum jl_send_result
-send_result (enum jl_http_result result)
+to_send_result (enum jl_http_result result)
 {
   switch (result)
     {
-    case JL_HTTP_ANSWERED:
+    case JL_HTTP_COMPLETED:
       return JL_SEND_ANSWERED;
     case JL_HTTP_NOT_SENT:
       return JL_SEND_NOT_SENT;
@@ -134,7 +144,7 @@
   return JL_SEND_BROKEN;
 }
 
-/* Sends a request with the headers of @extra to another daemon. */
+/* Sends the request with the additional headers @extra to another daemon. */
 static void
 send_to_peer (struct call *call,
               struct jl_endpoint peer,
@@ -147,27 +157,27 @@
     .method = call->exchange->method,
     .target = call->exchange->target,
     .request = extra,
-    .timeout_us = budget_us + ANSWER_GRACE_US,
-    .answer_max = call->config->kinds[call->kind].answer_bytes,
+    .timeout_us = budget_us + RESPONSE_GRACE_US,
+    .response_max_bytes = call->config->kinds[call->kind].answer_bytes,
     .transfer = &call->waiter.transfer,
     .lock = &call->daemon->lock,
   };
-  GString *own_body = extra->body;
+  GString *empty_body = extra->body;
 
-  if (jl_hooks_cut (peer.ip))
+  if (jl_hooks_partitioned (peer.ip))
     {
       result->result = JL_SEND_NOT_SENT;
       return;
     }
   jl_http_copy_headers (extra, &call->exchange->request);
   extra->body = call->exchange->request.body;
-  result->result = send_result (jl_http_perform (call->daemon->pool, &http,
-                                                 &call->status, &call->answer));
-  extra->body = own_body;
-  if (jl_hooks_cut (peer.ip))
+  result->result = to_send_result (jl_http_perform (
+      call->daemon->pool, &http, &call->status, &call->response));
+  extra->body = empty_body;
+  if (jl_hooks_partitioned (peer.ip))
     result->result = JL_SEND_BROKEN;
   if (result->result == JL_SEND_ANSWERED)
-    read_answer (call, result);
+    read_peer_answer (call, result);
 }
 
 static void
@@ -191,12 +201,13 @@
   jl_http_message_clear (&extra);
 }
 
+/* Executes a send effect and posts its result to the reducer. */
 static void
-carry_send (struct call *call, const struct jl_effect_send *send)
+run_send (struct call *call, const struct jl_effect_send *send)
 {
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
 
-  begin_attempt (call, send->attempt);
+  start_attempt (call, send->attempt);
   event.call_result.call = send->call;
   event.call_result.attempt = send->attempt;
   if (send->local)
@@ -207,8 +218,9 @@
   jl_daemon_post (call->daemon, &event);
 }
 
+/* Executes a forward effect and posts its result to the reducer. */
 static void
-carry_forward (struct call *call, const struct jl_effect_forward *forward)
+run_forward (struct call *call, const struct jl_effect_forward *forward)
 {
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
   struct jl_peer_forward header = { .attempt = forward->attempt,
@@ -220,7 +232,7 @@
                                     .digest = call->digest };
   struct jl_http_message extra;
 
-  begin_attempt (call, forward->attempt);
+  start_attempt (call, forward->attempt);
   g_strlcpy (header.kind, kind_name (call), JL_NAME_SIZE);
   event.call_result.call = forward->call;
   event.call_result.attempt = forward->attempt;
@@ -233,8 +245,9 @@
   jl_daemon_post (call->daemon, &event);
 }
 
+/* Claims an idempotency key and posts the result to the reducer. */
 static void
-carry_claim (struct call *call, const struct jl_effect_claim *claim)
+run_claim (struct call *call, const struct jl_effect_claim *claim)
 {
   struct jl_event event = { .type = JL_EVENT_CLAIM_RESULT };
   struct jl_platform *platform = call->daemon->platform;
@@ -247,6 +260,7 @@
   jl_daemon_post (call->daemon, &event);
 }
 
+/* Maps an answer without a response of the target to an HTTP status. */
 static uint32_t
 status_of (const struct jl_effect_answer *answer)
 {
@@ -262,10 +276,10 @@
     }
 }
 
-/* Headers of the answer that callers read. */
+/* Adds the response headers for callers. */
 static void
-add_outcome (struct jl_http_message *message,
-             const struct jl_effect_answer *answer)
+add_outcome_headers (struct jl_http_message *message,
+                     const struct jl_effect_answer *answer)
 {
   jl_http_add_header (message, "Jl-Outcome", jl_outcome_name (answer->outcome));
   jl_http_add_header (message, "Jl-Sending", jl_outcome_name (answer->sending));
@@ -285,7 +299,7 @@
     }
 }
 
-/* Headers that the daemon which sent the call on reads. */
+/* Adds the response headers for the daemon that forwarded the call. */
 static void
 add_peer_answer (struct call *call, const struct jl_effect_answer *answer)
 {
@@ -296,48 +310,55 @@
                                    .tokens = answer->tokens,
                                    .report = answer->report };
 
-  header.attempt = call->incoming->forward->attempt;
-  jl_peer_add_answer (&call->exchange->answer, &header, call->config);
+  header.attempt = call->origin->forward->attempt;
+  jl_peer_add_answer (&call->exchange->response, &header, call->config);
 }
 
-/* Fills in the target's answer, from this sending or from the store. */
+/*
+ * Copies the target's response from this attempt or from the cache. Returns
+ * false if the cached response is gone.
+ */
 static bool
-fill_done (struct call *call, const struct jl_effect_answer *answer)
+write_done_response (struct call *call, const struct jl_effect_answer *answer)
 {
   struct jl_http_exchange *exchange = call->exchange;
-  struct jl_answer_store *store = call->daemon->answers;
+  struct jl_response_cache *cache = call->daemon->response_cache;
 
   if (answer->stored)
-    return jl_answer_store_get (store, answer->ticket, &exchange->status,
-                                &exchange->answer);
+    return jl_response_cache_get (cache, answer->ticket, &exchange->status,
+                                  &exchange->response);
   exchange->status = call->status;
-  jl_http_copy_headers (&exchange->answer, &call->answer);
-  g_string_append_len (exchange->answer.body, call->answer.body->str,
-                       (gssize)call->answer.body->len);
+  jl_http_copy_headers (&exchange->response, &call->response);
+  g_string_append_len (exchange->response.body, call->response.body->str,
+                       (gssize)call->response.body->len);
   if (answer->keep)
-    jl_answer_store_put (store, answer->ticket, exchange->status,
-                         &exchange->answer);
+    jl_response_cache_put (cache, answer->ticket, exchange->status,
+                           &exchange->response);
   return true;
 }
 
+/* Fills in the response from the reducer's final answer. */
 static void
-carry_answer (struct call *call, const struct jl_effect_answer *answer)
+write_answer (struct call *call, const struct jl_effect_answer *answer)
 {
   struct jl_http_exchange *exchange = call->exchange;
 
   if (answer->outcome != JL_OUTCOME_DONE)
-    jl_answer_plain (exchange, status_of (answer),
+    jl_respond_text (exchange, status_of (answer),
                      jl_reason_name (answer->reason));
-  else if (!fill_done (call, answer))
-    jl_answer_plain (exchange, 410, "done before; the answer was not kept");
-  add_outcome (&exchange->answer, answer);
-  if (call->incoming->forward != NULL)
+  else if (!write_done_response (call, answer))
+    jl_respond_text (
+        exchange, 410,
+        "request was already executed; its response is no longer cached");
+  add_outcome_headers (&exchange->response, answer);
+  if (call->origin->forward != NULL)
     add_peer_answer (call, answer);
 }
 
-/* Takes the key from the request's header, a ticket or the caller's own. */
+/* Reads the Idempotency-Key header: a ticket or a key chosen by the caller. */
 static void
-read_key (const struct jl_http_exchange *exchange, struct jl_event_call *event)
+read_idempotency_key (const struct jl_http_exchange *exchange,
+                      struct jl_event_call *event)
 {
   const char *key = jl_http_header (&exchange->request, "Idempotency-Key");
   char bare[JL_ID_TEXT_SIZE];
@@ -360,6 +381,7 @@
     event->key_type = JL_KEY_TICKET;
 }
 
+/* Returns the caller's time budget in microseconds, 0 if none is given. */
 static uint64_t
 read_budget (const struct jl_http_exchange *exchange)
 {
@@ -385,11 +407,14 @@
   return XXH3_64bits_withSeed (body->str, body->len, digest);
 }
 
-/* How many calls of this kind the parent made before; under the lock. */
+/*
+ * Returns how many calls of this kind the parent has made, and counts one more.
+ * The caller must hold the lock.
+ */
 static uint32_t
-count_ordinal (struct jl_daemon *daemon, uint64_t parent, uint32_t kind)
+next_ordinal (struct jl_daemon *daemon, uint64_t parent, uint32_t kind)
 {
-  struct jl_waiter *waiter = g_hash_table_lookup (daemon->works, &parent);
+  struct jl_waiter *waiter = g_hash_table_lookup (daemon->work_items, &parent);
   gpointer key = GUINT_TO_POINTER (kind);
   uint32_t ordinal;
 
@@ -403,8 +428,8 @@
 }
 
 static void
-fill_forwarded (struct jl_event_call *event,
-                const struct jl_peer_forward *forward)
+set_forwarded_fields (struct jl_event_call *event,
+                      const struct jl_peer_forward *forward)
 {
   event->forwarded = true;
   event->attempt = forward->attempt;
@@ -416,33 +441,39 @@
   event->invested_us = forward->invested_us;
 }
 
-/* A configuration may have come after the body was found too large. */
+/*
+ * Returns the kind of the request. A request without its body has no kind: a
+ * configuration may have been installed after the body was found too large.
+ */
 static uint32_t
 find_kind (const struct call *call)
 {
   if (!call->has_body)
     return JL_NONE;
-  if (call->incoming->forward != NULL)
-    return jl_config_kind (call->config, call->incoming->forward->kind);
+  if (call->origin->forward != NULL)
+    return jl_config_kind (call->config, call->origin->forward->kind);
   return jl_config_match (call->config, call->exchange->method,
                           call->exchange->path);
 }
 
-/* Names go to numbers under the lock, so that they fit the reducer's. */
+/*
+ * Passes the call to the reducer. The kind's index is looked up under the lock,
+ * so that it belongs to the configuration that the reducer uses.
+ */
 static void
-begin_call (struct call *call)
+start_call (struct call *call)
 {
   struct jl_daemon *daemon = call->daemon;
   struct jl_event event = { .type = JL_EVENT_CALL };
 
-  read_key (call->exchange, &event.call);
+  read_idempotency_key (call->exchange, &event.call);
   event.call.budget_us = read_budget (call->exchange);
   event.call.digest = call->digest;
-  event.call.parent = call->incoming->parent;
-  event.call.ordinal = call->incoming->ordinal;
+  event.call.parent = call->origin->parent;
+  event.call.ordinal = call->origin->ordinal;
   event.call.kind = JL_NONE;
-  if (call->incoming->forward != NULL)
-    fill_forwarded (&event.call, call->incoming->forward);
+  if (call->origin->forward != NULL)
+    set_forwarded_fields (&event.call, call->origin->forward);
   call->waiter.number = ++daemon->next_number;
   event.call.call = call->waiter.number;
   if (daemon->config != NULL)
@@ -454,41 +485,41 @@
     }
   if (event.call.parent != 0 && event.call.ordinal == JL_NONE)
     event.call.ordinal
-        = count_ordinal (daemon, event.call.parent, event.call.kind);
+        = next_ordinal (daemon, event.call.parent, event.call.kind);
   g_hash_table_insert (daemon->calls, &call->waiter.number, &call->waiter);
   jl_daemon_step (daemon, &event);
 }
 
-/* Carries out the call's effects up to its answer. */
+/* Executes the call's effects until the reducer gives the final answer. */
 static void
 run_call (struct call *call)
 {
   struct jl_daemon *daemon = call->daemon;
   struct jl_effect effect;
 
-  jl_daemon_begin (daemon);
-  begin_call (call);
+  jl_daemon_lock (daemon);
+  start_call (call);
   for (;;)
     {
-      effect = jl_waiter_next (daemon, &call->waiter);
-      jl_daemon_end (daemon);
+      effect = jl_waiter_wait (daemon, &call->waiter);
+      jl_daemon_unlock (daemon);
       if (effect.type == JL_EFFECT_ANSWER)
         break;
       if (effect.type == JL_EFFECT_SEND)
-        carry_send (call, &effect.send);
+        run_send (call, &effect.send);
       else if (effect.type == JL_EFFECT_FORWARD)
-        carry_forward (call, &effect.forward);
+        run_forward (call, &effect.forward);
       else if (effect.type == JL_EFFECT_CLAIM)
-        carry_claim (call, &effect.claim);
-      jl_daemon_begin (daemon);
+        run_claim (call, &effect.claim);
+      jl_daemon_lock (daemon);
     }
-  jl_daemon_begin (daemon);
+  jl_daemon_lock (daemon);
   g_hash_table_remove (daemon->calls, &call->waiter.number);
-  jl_daemon_end (daemon);
-  carry_answer (call, &effect.answer);
+  jl_daemon_unlock (daemon);
+  write_answer (call, &effect.answer);
 }
 
-/* Largest body of the kind that will match, before the body is read. */
+/* Returns the body size limit of the matching kind, 0 if no kind matches. */
 static uint64_t
 body_limit (struct jl_daemon *daemon, const struct jl_http_exchange *exchange)
 {
@@ -505,44 +536,44 @@
   return limit;
 }
 
-/* Refuses a request whose body cannot be taken; it ran nowhere. */
+/* Refuses a request whose body cannot be read; the request was not executed. */
 static void
-refuse_body (struct jl_http_exchange *exchange, enum jl_http_body body)
+refuse_body (struct jl_http_exchange *exchange, enum jl_http_body_result body)
 {
-  bool is_large = body == JL_HTTP_BODY_TOO_LARGE;
-
-  jl_answer_plain (exchange, is_large ? 413 : 400,
-                   is_large ? "too-large" : "malformed");
-  jl_http_add_header (&exchange->answer, "Jl-Outcome", "not-run");
-  jl_http_add_header (&exchange->answer, "Jl-Sending", "not-run");
-  jl_http_add_header (&exchange->answer, "Jl-Reason",
-                      is_large ? "too-large" : "malformed");
+  bool too_large = body == JL_HTTP_BODY_TOO_LARGE;
+
+  jl_respond_text (exchange, too_large ? 413 : 400,
+                   too_large ? "too-large" : "malformed");
+  jl_http_add_header (&exchange->response, "Jl-Outcome", "not-run");
+  jl_http_add_header (&exchange->response, "Jl-Sending", "not-run");
+  jl_http_add_header (&exchange->response, "Jl-Reason",
+                      too_large ? "too-large" : "malformed");
 }
 
 void
 jl_serve_call (struct jl_daemon *daemon,
                struct jl_http_exchange *exchange,
-               const struct jl_incoming *incoming)
+               const struct jl_call_origin *origin)
 {
   struct call call
-      = { .daemon = daemon, .exchange = exchange, .incoming = incoming };
+      = { .daemon = daemon, .exchange = exchange, .origin = origin };
   uint64_t limit = body_limit (daemon, exchange);
-  enum jl_http_body body;
+  enum jl_http_body_result body;
 
   body = jl_http_read_body (exchange, limit);
-  if (body == JL_HTTP_BODY_BROKEN
+  if (body == JL_HTTP_BODY_INCOMPLETE
       || (body == JL_HTTP_BODY_TOO_LARGE && limit > 0))
     {
       refuse_body (exchange, body);
       return;
     }
-  call.has_body = body == JL_HTTP_BODY_WHOLE;
+  call.has_body = body == JL_HTTP_BODY_COMPLETE;
   call.digest = digest_request (exchange);
-  jl_http_message_init (&call.answer);
+  jl_http_message_init (&call.response);
   jl_waiter_init (&call.waiter);
   run_call (&call);
   jl_waiter_clear (&call.waiter);
-  jl_http_message_clear (&call.answer);
+  jl_http_message_clear (&call.response);
   if (call.config != NULL)
     jl_config_drop (call.config);
 }
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Steps of the reducer, and the way of its effects to the threads.
+ * DOC: Runs the reducer's steps and dispatches its effects to the threads.
  */
 
 #include "daemon/daemon.h"
@@ -7,17 +7,17 @@
 #include <string.h>
 #include <urcu.h>
 
-#include "daemon/answers.h"
 #include "daemon/hooks.h"
+#include "daemon/response-cache.h"
 #include "jackdawladder/log.h"
 
-/* Kept connections to one endpoint. */
+/* Idle connections kept for each endpoint. */
 #define IDLE_CONNECTION_MAX 16
 #define PLATFORM_TIMEOUT_MS 1000
-/* How often it is looked whether a planned stop takes too long. */
-#define EXIT_POLL_US (200 * JL_USEC_PER_MSEC)
+/* Interval at which the time limit of a graceful stop is checked. */
+#define DRAIN_POLL_US (200 * JL_USEC_PER_MSEC)
 
-/* Conditions wait by the clock that jl_now() reads. */
+/* Initializes a condition variable with the clock that jl_now() reads. */
 static void
 init_condition (pthread_cond_t *condition)
 {
@@ -29,7 +29,7 @@
   pthread_condattr_destroy (&attributes);
 }
 
-/* Return: false when @until_us passed. */
+/* Waits for a condition. Returns false when the time @until_us has passed. */
 static bool
 wait_until (struct jl_daemon *daemon,
             pthread_cond_t *condition,
@@ -47,33 +47,33 @@
 {
   memset (waiter, 0, sizeof *waiter);
   init_condition (&waiter->cond);
-  g_queue_init (&waiter->inbox);
+  g_queue_init (&waiter->effects);
 }
 
 void
 jl_waiter_clear (struct jl_waiter *waiter)
 {
   pthread_cond_destroy (&waiter->cond);
-  g_queue_clear_full (&waiter->inbox, g_free);
+  g_queue_clear_full (&waiter->effects, g_free);
   if (waiter->ordinals != NULL)
     g_hash_table_destroy (waiter->ordinals);
 }
 
 struct jl_effect
-jl_waiter_next (struct jl_daemon *daemon, struct jl_waiter *waiter)
+jl_waiter_wait (struct jl_daemon *daemon, struct jl_waiter *waiter)
 {
   struct jl_effect *queued;
   struct jl_effect effect;
 
-  while (g_queue_is_empty (&waiter->inbox))
+  while (g_queue_is_empty (&waiter->effects))
     pthread_cond_wait (&waiter->cond, &daemon->lock);
-  queued = g_queue_pop_head (&waiter->inbox);
+  queued = g_queue_pop_head (&waiter->effects);
   effect = *queued;
   g_free (queued);
   return effect;
 }
 
-/* Gives an effect to the thread that waits for it. */
+/* Passes an effect to the thread that waits for it, if there is one. */
 static void
 deliver (GHashTable *waiters, uint64_t number, const struct jl_effect *effect)
 {
@@ -81,39 +81,39 @@
 
   if (waiter == NULL)
     return;
-  g_queue_push_tail (&waiter->inbox, g_memdup2 (effect, sizeof *effect));
+  g_queue_push_tail (&waiter->effects, g_memdup2 (effect, sizeof *effect));
   pthread_cond_signal (&waiter->cond);
 }
 
 static void
-abort_run (struct jl_daemon *daemon, uint64_t number)
+cancel_run (struct jl_daemon *daemon, uint64_t number)
 {
-  struct jl_waiter *waiter = g_hash_table_lookup (daemon->works, &number);
+  struct jl_waiter *waiter = g_hash_table_lookup (daemon->work_items, &number);
 
   if (waiter != NULL)
     jl_http_transfer_abort (&waiter->transfer);
 }
 
 static void
-stop_send (struct jl_daemon *daemon, const struct jl_effect_stop_send *stop)
+cancel_send (struct jl_daemon *daemon, const struct jl_effect_stop_send *stop)
 {
   struct jl_waiter *waiter = g_hash_table_lookup (daemon->calls, &stop->call);
 
   if (waiter == NULL)
     return;
-  waiter->stopped_attempt = stop->attempt.number;
+  waiter->cancelled_attempt = stop->attempt.number;
   jl_http_transfer_abort (&waiter->transfer);
 }
 
-/* Keeps an effect until the lock is given back. */
+/* Queues a copy of an effect until the lock is released. */
 static void
-put_off (struct jl_daemon *daemon, const struct jl_effect *effect)
+defer_effect (struct jl_daemon *daemon, const struct jl_effect *effect)
 {
   struct jl_effect copy = *effect;
 
   if (effect->type == JL_EFFECT_MESSAGE)
     copy.message = g_memdup2 (effect->message, sizeof *effect->message);
-  g_array_append_val (daemon->outgoing, copy);
+  g_array_append_val (daemon->deferred, copy);
 }
 
 static void
@@ -121,9 +121,9 @@
 {
   struct jl_config *old = daemon->config;
 
-  /* Releases as rcu_assign_pointer() does, and where sanitizers see it. */
+  /* A release store like rcu_assign_pointer(), but visible to sanitizers. */
   __atomic_store_n (&daemon->config, jl_config_keep (config), __ATOMIC_RELEASE);
-  daemon->retired = old;
+  daemon->retired_config = old;
 }
 
 static void
@@ -144,39 +144,39 @@
       deliver (daemon->calls, effect->claim.call, effect);
       break;
     case JL_EFFECT_RUN:
-      deliver (daemon->works, effect->run.work, effect);
+      deliver (daemon->work_items, effect->run.work, effect);
       break;
     case JL_EFFECT_FINISH:
-      deliver (daemon->works, effect->finish.work, effect);
+      deliver (daemon->work_items, effect->finish.work, effect);
       break;
     case JL_EFFECT_ABORT:
-      abort_run (daemon, effect->abort_work);
+      cancel_run (daemon, effect->abort_work);
       break;
     case JL_EFFECT_STOP_SEND:
-      stop_send (daemon, &effect->stop_send);
+      cancel_send (daemon, &effect->stop_send);
       break;
     case JL_EFFECT_CONFIG:
       replace_config (daemon, effect->config);
       break;
     case JL_EFFECT_PUBLISH:
     case JL_EFFECT_FETCH_CONFIG:
-      g_queue_push_tail (&daemon->background,
+      g_queue_push_tail (&daemon->background_effects,
                          g_memdup2 (effect, sizeof *effect));
-      pthread_cond_signal (&daemon->has_background);
+      pthread_cond_signal (&daemon->background_cond);
       break;
     case JL_EFFECT_MESSAGE:
     case JL_EFFECT_LOG:
-      put_off (daemon, effect);
+      defer_effect (daemon, effect);
       break;
     case JL_EFFECT_EXIT:
-      daemon->exiting = true;
-      pthread_cond_broadcast (&daemon->exit);
+      daemon->drained = true;
+      pthread_cond_broadcast (&daemon->drained_cond);
       break;
     }
 }
 
 void
-jl_daemon_begin (struct jl_daemon *daemon)
+jl_daemon_lock (struct jl_daemon *daemon)
 {
   pthread_mutex_lock (&daemon->lock);
 }
@@ -195,55 +195,56 @@
   if (next_us >= daemon->tick_at_us)
     return;
   daemon->tick_at_us = next_us;
-  pthread_cond_signal (&daemon->tick);
+  pthread_cond_signal (&daemon->tick_cond);
 }
 
+/* Executes a deferred effect: writes a log event or sends a message. */
 static void
-carry_out (struct jl_daemon *daemon, const struct jl_effect *effect)
+run_deferred (struct jl_daemon *daemon, const struct jl_effect *effect)
 {
   if (effect->type == JL_EFFECT_LOG)
     {
       jl_log (effect->log.number, effect->log.first, effect->log.second);
       return;
     }
-  if (!jl_hooks_cut (effect->message->to.ip))
+  if (!jl_hooks_partitioned (effect->message->to.ip))
     jl_control_send (daemon->control, effect->message->to,
                      &effect->message->message);
   g_free (effect->message);
 }
 
 void
-jl_daemon_end (struct jl_daemon *daemon)
+jl_daemon_unlock (struct jl_daemon *daemon)
 {
-  GArray *outgoing = NULL;
-  struct jl_config *retired = daemon->retired;
+  GArray *deferred = NULL;
+  struct jl_config *retired_config = daemon->retired_config;
 
-  if (daemon->outgoing->len > 0)
+  if (daemon->deferred->len > 0)
     {
-      outgoing = daemon->outgoing;
-      daemon->outgoing = g_array_new (FALSE, FALSE, sizeof (struct jl_effect));
+      deferred = daemon->deferred;
+      daemon->deferred = g_array_new (FALSE, FALSE, sizeof (struct jl_effect));
     }
-  daemon->retired = NULL;
+  daemon->retired_config = NULL;
   pthread_mutex_unlock (&daemon->lock);
-  if (outgoing != NULL)
+  if (deferred != NULL)
     {
-      for (guint i = 0; i < outgoing->len; i++)
-        carry_out (daemon, &g_array_index (outgoing, struct jl_effect, i));
-      g_array_free (outgoing, TRUE);
+      for (guint i = 0; i < deferred->len; i++)
+        run_deferred (daemon, &g_array_index (deferred, struct jl_effect, i));
+      g_array_free (deferred, TRUE);
     }
-  if (retired != NULL)
+  if (retired_config != NULL)
     {
       synchronize_rcu ();
-      jl_config_drop (retired);
+      jl_config_drop (retired_config);
     }
 }
 
 void
 jl_daemon_post (struct jl_daemon *daemon, struct jl_event *event)
 {
-  jl_daemon_begin (daemon);
+  jl_daemon_lock (daemon);
   jl_daemon_step (daemon, event);
-  jl_daemon_end (daemon);
+  jl_daemon_unlock (daemon);
 }
 
 bool
@@ -251,15 +252,15 @@
                             uint64_t wait_us,
                             struct jl_effect **effect)
 {
-  bool stopping;
+  bool closing;
 
-  jl_daemon_begin (daemon);
-  if (!daemon->stopping && g_queue_is_empty (&daemon->background))
-    wait_until (daemon, &daemon->has_background, jl_now () + wait_us);
-  *effect = g_queue_pop_head (&daemon->background);
-  stopping = daemon->stopping;
-  jl_daemon_end (daemon);
-  return !stopping;
+  jl_daemon_lock (daemon);
+  if (!daemon->closing && g_queue_is_empty (&daemon->background_effects))
+    wait_until (daemon, &daemon->background_cond, jl_now () + wait_us);
+  *effect = g_queue_pop_head (&daemon->background_effects);
+  closing = daemon->closing;
+  jl_daemon_unlock (daemon);
+  return !closing;
 }
 
 struct jl_config *
@@ -300,11 +301,11 @@
 {
   struct jl_event event = { .type = JL_EVENT_MESSAGE, .message = message };
 
-  if (!jl_hooks_cut (jl_member_endpoint (message->from.member).ip))
+  if (!jl_hooks_partitioned (jl_member_endpoint (message->from.member).ip))
     jl_daemon_post (context, &event);
 }
 
-/* Sends ticks when timers of the reducer are due. */
+/* Main function of the timer thread: posts ticks when timers are due. */
 static void *
 run_timers (void *context)
 {
@@ -312,24 +313,24 @@
   struct jl_event event = { .type = JL_EVENT_TICK };
 
   rcu_register_thread ();
-  jl_daemon_begin (daemon);
-  while (!daemon->stopping)
+  jl_daemon_lock (daemon);
+  while (!daemon->closing)
     {
       uint64_t now_us = jl_now ();
 
       daemon->tick_at_us = jl_core_next_timer (daemon->core);
       if (daemon->tick_at_us > now_us)
         {
-          wait_until (daemon, &daemon->tick,
+          wait_until (daemon, &daemon->tick_cond,
                       MIN (daemon->tick_at_us, now_us + JL_USEC_PER_SEC));
           continue;
         }
       daemon->tick_at_us = 0;
       jl_daemon_step (daemon, &event);
-      jl_daemon_end (daemon);
-      jl_daemon_begin (daemon);
+      jl_daemon_unlock (daemon);
+      jl_daemon_lock (daemon);
     }
-  jl_daemon_end (daemon);
+  jl_daemon_unlock (daemon);
   rcu_unregister_thread ();
   return NULL;
 }
@@ -355,12 +356,15 @@
   };
 
   options.seed = (uint32_t)(options.identity.epoch ^ options.identity.member);
-  options.switched_off = jl_hooks_switched_off ();
+  options.switched_off = jl_hooks_disabled_mechanisms ();
   g_strlcpy (options.zone, settings->zone, JL_NAME_SIZE);
   return jl_core_new (&options);
 }
 
-/* Messages that come at once wait for the lock: their answers need control. */
+/*
+ * Opens the control socket. The lock delays messages that arrive at once until
+ * daemon->control is set, which their replies need.
+ */
 static bool
 open_control (struct jl_daemon *daemon, GError **error)
 {
@@ -397,6 +401,7 @@
   return daemon->entry_server != NULL;
 }
 
+/* Passes the seeds from the settings to the reducer. */
 static void
 post_seeds (struct jl_daemon *daemon)
 {
@@ -416,8 +421,8 @@
       || pthread_create (&daemon->background_thread, NULL, jl_background_run,
                          daemon)
              != 0)
-    g_error ("cannot start the daemon's threads");
-  daemon->has_threads = true;
+    g_error ("cannot start the timer and background threads");
+  daemon->threads_started = true;
 }
 
 struct jl_daemon *
@@ -427,17 +432,17 @@
 
   daemon->settings = settings;
   pthread_mutex_init (&daemon->lock, NULL);
-  init_condition (&daemon->tick);
-  init_condition (&daemon->exit);
-  init_condition (&daemon->has_background);
+  init_condition (&daemon->tick_cond);
+  init_condition (&daemon->drained_cond);
+  init_condition (&daemon->background_cond);
   daemon->core = make_core (settings);
   daemon->effects = jl_effects_new ();
   daemon->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
-  daemon->works = g_hash_table_new (g_int64_hash, g_int64_equal);
-  daemon->outgoing = g_array_new (FALSE, FALSE, sizeof (struct jl_effect));
-  daemon->answers = jl_answer_store_new ();
+  daemon->work_items = g_hash_table_new (g_int64_hash, g_int64_equal);
+  daemon->deferred = g_array_new (FALSE, FALSE, sizeof (struct jl_effect));
+  daemon->response_cache = jl_response_cache_new ();
   daemon->pool = jl_http_pool_new (IDLE_CONNECTION_MAX);
-  g_queue_init (&daemon->background);
+  g_queue_init (&daemon->background_effects);
   if (settings->has_platform)
     daemon->platform
         = jl_platform_new (settings->platform, PLATFORM_TIMEOUT_MS);
@@ -458,21 +463,24 @@
   struct jl_event event = { .type = JL_EVENT_DRAIN };
 
   g_atomic_int_set (&daemon->draining, 1);
-  jl_daemon_begin (daemon);
-  if (daemon->drain_begun_us == 0)
-    daemon->drain_begun_us = jl_now ();
+  jl_daemon_lock (daemon);
+  if (daemon->drain_started_us == 0)
+    daemon->drain_started_us = jl_now ();
   jl_daemon_step (daemon, &event);
-  jl_daemon_end (daemon);
+  jl_daemon_unlock (daemon);
 }
 
-/* Whether a planned stop takes longer than the settings allow; locked. */
+/*
+ * Whether a graceful stop takes longer than the settings allow. The caller must
+ * hold the lock.
+ */
 static bool
-is_overdue (const struct jl_daemon *daemon)
+drain_timed_out (const struct jl_daemon *daemon)
 {
   uint64_t allowed_us = daemon->settings->drain_ms * JL_USEC_PER_MSEC;
 
-  return daemon->drain_begun_us > 0
-         && daemon->drain_begun_us + allowed_us <= jl_now ();
+  return daemon->drain_started_us > 0
+         && daemon->drain_started_us + allowed_us <= jl_now ();
 }
 
 bool
@@ -481,9 +489,9 @@
   bool exiting;
 
   pthread_mutex_lock (&daemon->lock);
-  while (!daemon->exiting && !is_overdue (daemon))
-    wait_until (daemon, &daemon->exit, jl_now () + EXIT_POLL_US);
-  exiting = daemon->exiting;
+  while (!daemon->drained && !drain_timed_out (daemon))
+    wait_until (daemon, &daemon->drained_cond, jl_now () + DRAIN_POLL_US);
+  exiting = daemon->drained;
   pthread_mutex_unlock (&daemon->lock);
   return exiting;
 }
@@ -491,13 +499,13 @@
 static void
 join_threads (struct jl_daemon *daemon)
 {
-  if (!daemon->has_threads)
+  if (!daemon->threads_started)
     return;
-  jl_daemon_begin (daemon);
-  daemon->stopping = true;
-  pthread_cond_signal (&daemon->tick);
-  pthread_cond_signal (&daemon->has_background);
-  jl_daemon_end (daemon);
+  jl_daemon_lock (daemon);
+  daemon->closing = true;
+  pthread_cond_signal (&daemon->tick_cond);
+  pthread_cond_signal (&daemon->background_cond);
+  jl_daemon_unlock (daemon);
   pthread_join (daemon->background_thread, NULL);
   pthread_join (daemon->timer_thread, NULL);
 }
@@ -505,14 +513,14 @@
 void
 jl_daemon_close (struct jl_daemon *daemon)
 {
-  bool waits = (jl_hooks_switched_off () & JL_MECHANISM_DRAIN) == 0;
+  bool graceful = (jl_hooks_disabled_mechanisms () & JL_MECHANISM_DRAIN) == 0;
 
   if (daemon->entry_server != NULL)
-    jl_http_server_close (daemon->entry_server, waits);
+    jl_http_server_close (daemon->entry_server, graceful);
   if (daemon->peer_server != NULL)
-    jl_http_server_close (daemon->peer_server, waits);
+    jl_http_server_close (daemon->peer_server, graceful);
   if (daemon->local_server != NULL)
-    jl_http_server_close (daemon->local_server, waits);
+    jl_http_server_close (daemon->local_server, graceful);
   join_threads (daemon);
   if (daemon->control != NULL)
     jl_control_close (daemon->control);
@@ -521,13 +529,13 @@
   jl_http_pool_drop (daemon->pool);
   jl_core_drop (daemon->core);
   jl_effects_drop (daemon->effects);
-  jl_answer_store_drop (daemon->answers);
+  jl_response_cache_drop (daemon->response_cache);
   if (daemon->config != NULL)
     jl_config_drop (daemon->config);
-  g_array_free (daemon->outgoing, TRUE);
-  g_queue_clear_full (&daemon->background, g_free);
+  g_array_free (daemon->deferred, TRUE);
+  g_queue_clear_full (&daemon->background_effects, g_free);
   g_hash_table_destroy (daemon->calls);
-  g_hash_table_destroy (daemon->works);
+  g_hash_table_destroy (daemon->work_items);
   jl_log_text (JL_LOG_STOPPED, daemon->settings->name);
   g_free (daemon);
 }
--- a/source/daemon/entry.c
+++ b/source/daemon/entry.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The ports for callers and for other daemons.
+ * DOC: Request handlers of the ports for callers and for other daemons.
  */
 
 #include <string.h>
@@ -8,33 +8,36 @@
 #include "daemon/hooks.h"
 #include "jackdawladder/log.h"
 
-/* Gives a caller a ticket for its next request. */
+/* Returns a new ticket for the caller's next request. */
 static void
 serve_ticket (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   struct jl_ticket ticket;
   char text[JL_ID_TEXT_SIZE];
 
-  jl_daemon_begin (daemon);
+  jl_daemon_lock (daemon);
   ticket = jl_core_mint_ticket (daemon->core);
-  jl_daemon_end (daemon);
+  jl_daemon_unlock (daemon);
   jl_ticket_format (ticket, text);
-  jl_http_add_header (&exchange->answer, "Jl-Ticket", text);
-  jl_answer_plain (exchange, 200, text);
+  jl_http_add_header (&exchange->response, "Jl-Ticket", text);
+  jl_respond_text (exchange, 200, text);
 }
 
-/* For load balancers of callers: 503 while the daemon drains. */
+/*
+ * Readiness check for the callers' load balancers: 503 while the daemon drains
+ * or has no configuration.
+ */
 static void
 serve_ready (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   struct jl_config *config = jl_daemon_get_config (daemon);
 
   if (config == NULL)
-    jl_answer_plain (exchange, 503, "no configuration");
+    jl_respond_text (exchange, 503, "no configuration");
   else if (g_atomic_int_get (&daemon->draining) != 0)
-    jl_answer_plain (exchange, 503, "draining");
+    jl_respond_text (exchange, 503, "draining");
   else
-    jl_answer_plain (exchange, 200, "ready");
+    jl_respond_text (exchange, 200, "ready");
   if (config != NULL)
     jl_config_drop (config);
 }
@@ -43,18 +46,18 @@
 jl_entry_handle (void *context, struct jl_http_exchange *exchange)
 {
   struct jl_daemon *daemon = context;
-  struct jl_incoming incoming = { .ordinal = JL_NONE };
+  struct jl_call_origin origin = { .ordinal = JL_NONE };
 
-  exchange->close = g_atomic_int_get (&daemon->draining) != 0;
+  exchange->close_connection = g_atomic_int_get (&daemon->draining) != 0;
   if (strcmp (exchange->path, "/jl/ready") == 0)
     serve_ready (context, exchange);
   else if (strcmp (exchange->path, "/jl/ticket") == 0)
     serve_ticket (context, exchange);
   else
-    jl_serve_call (context, exchange, &incoming);
+    jl_serve_call (context, exchange, &origin);
 }
 
-/* Largest body of a kind by name; 0 when the kind is not known. */
+/* Returns the body size limit of a kind by its name, 0 for an unknown kind. */
 static uint64_t
 body_limit (struct jl_daemon *daemon, const char *kind)
 {
@@ -71,9 +74,9 @@
   return limit;
 }
 
-/* Answers the daemon that sent a call to this guard. */
+/* Fills in the response to the daemon that sent a call to this guard. */
 static void
-answer_guarded (struct jl_http_exchange *exchange, struct jl_run *run)
+answer_peer (struct jl_http_exchange *exchange, struct jl_work_run *run)
 {
   struct jl_peer_answer header = { .attempt = run->event.attempt,
                                    .outcome = run->finish.outcome,
@@ -86,31 +89,32 @@
   if (run->finish.outcome == JL_OUTCOME_DONE)
     {
       exchange->status = run->status;
-      jl_http_copy_headers (&exchange->answer, &run->answer);
-      g_string_append_len (exchange->answer.body, run->answer.body->str,
-                           (gssize)run->answer.body->len);
+      jl_http_copy_headers (&exchange->response, &run->response);
+      g_string_append_len (exchange->response.body, run->response.body->str,
+                           (gssize)run->response.body->len);
     }
   else
     exchange->status = run->finish.outcome == JL_OUTCOME_NOT_RUN ? 503 : 504;
-  jl_peer_add_answer (&exchange->answer, &header, run->config);
+  jl_peer_add_answer (&exchange->response, &header, run->config);
 }
 
+/* Runs a call of another daemon at the target of this daemon. */
 static void
 serve_work (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   struct jl_peer_call header;
-  struct jl_run run = { .kind = header.kind,
-                        .method = exchange->method,
-                        .target = exchange->target,
-                        .request = &exchange->request };
-  enum jl_http_body body = JL_HTTP_BODY_BROKEN;
+  struct jl_work_run run = { .kind = header.kind,
+                             .method = exchange->method,
+                             .target = exchange->target,
+                             .request = &exchange->request };
+  enum jl_http_body_result body = JL_HTTP_BODY_INCOMPLETE;
 
   if (jl_peer_get_call (&exchange->request, &header))
     body = jl_http_read_body (exchange, body_limit (daemon, header.kind));
-  if (body == JL_HTTP_BODY_BROKEN)
+  if (body == JL_HTTP_BODY_INCOMPLETE)
     {
       jl_log_text (JL_LOG_MALFORMED_REQUEST, JL_PEER_CALL_HEADER);
-      jl_answer_plain (exchange, 400, "malformed");
+      jl_respond_text (exchange, 400, "malformed");
       return;
     }
   run.event.attempt = header.attempt;
@@ -120,32 +124,33 @@
   run.event.anchor = header.anchor;
   run.event.tokens = header.tokens;
   run.event.digest = header.digest;
-  jl_http_message_init (&run.answer);
+  jl_http_message_init (&run.response);
   if (body == JL_HTTP_BODY_TOO_LARGE)
     run.finish = (struct jl_effect_finish){ .outcome = JL_OUTCOME_NOT_RUN,
                                             .reason = JL_REASON_TOO_LARGE,
                                             .tokens = header.tokens };
   else
-    jl_run_work (daemon, &run);
-  answer_guarded (exchange, &run);
-  jl_http_message_clear (&run.answer);
+    jl_work_run_execute (daemon, &run);
+  answer_peer (exchange, &run);
+  jl_http_message_clear (&run.response);
   if (run.config != NULL)
     jl_config_drop (run.config);
 }
 
+/* Processes a call that another daemon forwarded to its ticket's issuer. */
 static void
 serve_forwarded (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   struct jl_peer_forward header;
-  struct jl_incoming incoming = { .forward = &header };
+  struct jl_call_origin origin = { .forward = &header };
 
   if (jl_peer_get_forward (&exchange->request, &header))
     {
-      jl_serve_call (daemon, exchange, &incoming);
+      jl_serve_call (daemon, exchange, &origin);
       return;
     }
   jl_log_text (JL_LOG_MALFORMED_REQUEST, JL_PEER_FORWARD_HEADER);
-  jl_answer_plain (exchange, 400, "malformed");
+  jl_respond_text (exchange, 400, "malformed");
 }
 
 void
@@ -156,12 +161,13 @@
 
   if (config == NULL)
     {
-      jl_answer_plain (exchange, 404, "no configuration");
+      jl_respond_text (exchange, 404, "no configuration");
       return;
     }
   exchange->status = 200;
-  jl_http_add_number (&exchange->answer, "Jl-Config-Version", config->version);
-  g_string_append_len (exchange->answer.body, config->text,
+  jl_http_add_number (&exchange->response, "Jl-Config-Version",
+                      config->version);
+  g_string_append_len (exchange->response.body, config->text,
                        (gssize)config->text_size);
   jl_config_drop (config);
 }
@@ -176,5 +182,5 @@
   else if (strcmp (exchange->path, "/jl/config") == 0)
     jl_daemon_serve_config (context, exchange);
   else
-    jl_answer_plain (exchange, 404, "not found");
+    jl_respond_text (exchange, 404, "not found");
 }
--- a/source/daemon/exchange.h
+++ b/source/daemon/exchange.h
@@ -2,22 +2,26 @@
 #define JACKDAWLADDER_EXCHANGE_H
 
 /**
- * DOC: A request's way through the threads of the edge.
+ * DOC: Processing of calls and work items in the server threads.
  */
 
 #include "daemon/daemon.h"
 #include "jackdawladder/peer.h"
 
 /**
- * struct jl_run - a work item and its answer
- * @event: without the fields that jl_run_work() fills: work, kind and
- *         configuration version
- * @kind: name of its kind
- * @status: of the target, with JL_OUTCOME_DONE
- * @answer: likewise; initialized by the caller
+ * struct jl_work_run - a work item and its result
+ * @event: filled by the caller, except for the work number, kind and
+ *         configuration version, which jl_work_run_execute() sets
+ * @kind: name of the request kind
+ * @method: HTTP method of the request
+ * @target: path and query of the request
+ * @finish: receives the outcome
+ * @status: receives the target's HTTP status, with JL_OUTCOME_DONE
+ * @response: receives the target's response, with JL_OUTCOME_DONE;
+ *            initialized by the caller
  * @config: receives a reference to the configuration used, or NULL
  */
-struct jl_run
+struct jl_work_run
 {
   struct jl_event_work event;
   const char *kind;
@@ -26,22 +30,25 @@
   const struct jl_http_message *request;
   struct jl_effect_finish finish;
   uint32_t status;
-  struct jl_http_message answer;
+  struct jl_http_message response;
   struct jl_config *config;
 };
 
 /**
- * jl_run_work - takes one work item from arrival to its end at this guard
+ * jl_work_run_execute - admits one work item and runs it at the target
+ *
+ * Blocks until the work item is refused or its result is known.
  */
-void jl_run_work (struct jl_daemon *daemon, struct jl_run *run);
+void jl_work_run_execute (struct jl_daemon *daemon, struct jl_work_run *run);
 
 /**
- * struct jl_incoming - a call that arrives at this entry
- * @parent: work that makes it, 0 for a caller
- * @ordinal: JL_NONE lets the daemon count
- * @forward: headers of the daemon that sent it on, or NULL
+ * struct jl_call_origin - where a call at this entry comes from
+ * @parent: number of the work item that makes the call, 0 for a caller
+ * @ordinal: number of calls of the same kind that @parent made before; JL_NONE
+ *           lets the daemon count them
+ * @forward: header set by the daemon that forwarded the call, or NULL
  */
-struct jl_incoming
+struct jl_call_origin
 {
   uint64_t parent;
   uint32_t ordinal;
@@ -49,16 +56,16 @@
 };
 
 /**
- * jl_serve_call - takes one call from arrival to its answer
+ * jl_serve_call - processes one call and fills in its response
  */
 void jl_serve_call (struct jl_daemon *daemon,
                     struct jl_http_exchange *exchange,
-                    const struct jl_incoming *incoming);
+                    const struct jl_call_origin *origin);
 
 /**
- * jl_answer_plain - answers with a status and a line of text
+ * jl_respond_text - responds with a status and one line of plain text
  */
-void jl_answer_plain (struct jl_http_exchange *exchange,
+void jl_respond_text (struct jl_http_exchange *exchange,
                       uint32_t status,
                       const char *text);
 
--- a/source/daemon/hooks.c
+++ b/source/daemon/hooks.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Test hooks.
+ * DOC: Test hooks that simulate network partitions and disable mechanisms.
  */
 
 #include "daemon/hooks.h"
@@ -10,12 +10,13 @@
 
 #ifdef JL_TEST_HOOKS
 
-#  define PREFIX_MAX 8
-#  define PREFIX_SIZE 16
+#  define PREFIX_COUNT_MAX 8
+#  define PREFIX_MAX_BYTES 16
 
+/* Address prefixes whose traffic is dropped, protected by lock. */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static uint32_t prefix_count;
-static char prefixes[PREFIX_MAX][PREFIX_SIZE];
+static char prefixes[PREFIX_COUNT_MAX][PREFIX_MAX_BYTES];
 
 static const struct
 {
@@ -33,21 +34,21 @@
 };
 
 bool
-jl_hooks_cut (uint32_t ip)
+jl_hooks_partitioned (uint32_t ip)
 {
   char text[JL_ENDPOINT_TEXT_SIZE];
-  bool cut = false;
+  bool dropped = false;
 
   jl_endpoint_format ((struct jl_endpoint){ .ip = ip }, text);
   pthread_mutex_lock (&lock);
   for (uint32_t i = 0; i < prefix_count; i++)
-    cut = cut || g_str_has_prefix (text, prefixes[i]);
+    dropped = dropped || g_str_has_prefix (text, prefixes[i]);
   pthread_mutex_unlock (&lock);
-  return cut;
+  return dropped;
 }
 
 uint32_t
-jl_hooks_switched_off (void)
+jl_hooks_disabled_mechanisms (void)
 {
   const char *names = g_getenv ("JL_SWITCHED_OFF");
   uint32_t set = 0;
@@ -72,9 +73,9 @@
   else if (strcmp (exchange->path, "/test/cut") == 0 && prefix != NULL)
     {
       pthread_mutex_lock (&lock);
-      if (prefix_count < PREFIX_MAX)
+      if (prefix_count < PREFIX_COUNT_MAX)
         g_strlcpy (prefixes[prefix_count++], prefix + strlen ("?prefix="),
-                   PREFIX_SIZE);
+                   PREFIX_MAX_BYTES);
       pthread_mutex_unlock (&lock);
     }
   else
@@ -86,13 +87,13 @@
 #else
 
 bool
-jl_hooks_cut (uint32_t ip G_GNUC_UNUSED)
+jl_hooks_partitioned (uint32_t ip G_GNUC_UNUSED)
 {
   return false;
 }
 
 uint32_t
-jl_hooks_switched_off (void)
+jl_hooks_disabled_mechanisms (void)
 {
   return 0;
 }
--- a/source/daemon/local.c
+++ b/source/daemon/local.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The port for the own target and for the operators' tool.
+ * DOC: Request handler of the port for the target and the operators' tool.
  */
 
 #include <inttypes.h>
@@ -10,11 +10,15 @@
 #include "daemon/hooks.h"
 #include "jackdawladder/log.h"
 
-/* Bytes of an announcement. */
-#define ANNOUNCE_MAX 4096
+/* Limit on the body of an announcement. */
+#define ANNOUNCEMENT_MAX_BYTES 4096
+/* Upper bound of the slots and connections that a target can announce. */
 #define SLOTS_MAX 100000
 
-/* Reads a whole number from an object; false if it is missing or off. */
+/*
+ * Reads an integer from 0 to @max from an object. Returns false if it is
+ * missing or out of range.
+ */
 static bool
 get_number (struct json_object *object,
             const char *key,
@@ -34,6 +38,7 @@
   return true;
 }
 
+/* Decodes an announcement; returns false if it is malformed. */
 static bool
 read_announcement (struct json_object *object,
                    struct jl_event_announce *announce)
@@ -64,27 +69,31 @@
 {
   struct jl_event event = { .type = JL_EVENT_ANNOUNCE };
   struct json_object *object;
-  bool good;
+  bool valid;
 
-  if (jl_http_read_body (exchange, ANNOUNCE_MAX) != JL_HTTP_BODY_WHOLE)
+  if (jl_http_read_body (exchange, ANNOUNCEMENT_MAX_BYTES)
+      != JL_HTTP_BODY_COMPLETE)
     {
-      jl_answer_plain (exchange, 413, "announcement too large or broken");
+      jl_respond_text (exchange, 413,
+                       "announcement is too large or incomplete");
       return;
     }
   object = json_tokener_parse (exchange->request.body->str);
-  good = read_announcement (object, &event.announce);
+  valid = read_announcement (object, &event.announce);
   json_object_put (object);
-  if (!good)
+  if (!valid)
     {
       jl_log_text (JL_LOG_MALFORMED_REQUEST, "announcement");
-      jl_answer_plain (exchange, 400,
-                       "want service, slots, connections and started");
+      jl_respond_text (
+          exchange, 400,
+          "announcement needs service, slots, connections and started");
       return;
     }
   jl_daemon_post (daemon, &event);
-  jl_answer_plain (exchange, 200, "announced");
+  jl_respond_text (exchange, 200, "announced");
 }
 
+/* Posts an event without data and responds with @text. */
 static void
 serve_event (struct jl_daemon *daemon,
              struct jl_http_exchange *exchange,
@@ -94,31 +103,31 @@
   struct jl_event event = { .type = type };
 
   jl_daemon_post (daemon, &event);
-  jl_answer_plain (exchange, 200, text);
+  jl_respond_text (exchange, 200, text);
 }
 
 static void
 serve_dump (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   exchange->status = 200;
-  jl_http_add_header (&exchange->answer, "Content-Type", "application/json");
-  jl_daemon_begin (daemon);
-  jl_core_dump (daemon->core, exchange->answer.body);
-  jl_daemon_end (daemon);
+  jl_http_add_header (&exchange->response, "Content-Type", "application/json");
+  jl_daemon_lock (daemon);
+  jl_core_dump (daemon->core, exchange->response.body);
+  jl_daemon_unlock (daemon);
 }
 
 static void
 serve_metrics (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   struct jl_control_counts counts;
-  GString *out = exchange->answer.body;
+  GString *out = exchange->response.body;
 
   exchange->status = 200;
-  jl_http_add_header (&exchange->answer, "Content-Type",
+  jl_http_add_header (&exchange->response, "Content-Type",
                       "text/plain; version=0.0.4");
-  jl_daemon_begin (daemon);
+  jl_daemon_lock (daemon);
   jl_core_counters (daemon->core, out);
-  jl_daemon_end (daemon);
+  jl_daemon_unlock (daemon);
   jl_control_get_counts (daemon->control, &counts);
   g_string_append_printf (
       out,
@@ -135,13 +144,13 @@
 serve_status (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   exchange->status = 200;
-  jl_http_add_header (&exchange->answer, "Content-Type", "application/json");
-  jl_daemon_begin (daemon);
-  jl_core_status (daemon->core, exchange->answer.body);
-  jl_daemon_end (daemon);
+  jl_http_add_header (&exchange->response, "Content-Type", "application/json");
+  jl_daemon_lock (daemon);
+  jl_core_status (daemon->core, exchange->response.body);
+  jl_daemon_unlock (daemon);
 }
 
-/* Whether a configuration newer than @version is in force here. */
+/* Whether this daemon has a configuration newer than @version. */
 static bool
 has_newer_config (struct jl_daemon *daemon, uint64_t version)
 {
@@ -152,7 +161,8 @@
   return newer;
 }
 
-/* Takes a configuration from the tool, which has put it in the table. */
+/* Installs a configuration from the tool, which has already stored it in the
+   platform's table. */
 static void
 serve_new_config (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
@@ -163,41 +173,43 @@
 
   if (text == NULL
       || !g_ascii_string_to_unsigned (text, 10, 1, INT64_MAX, &version, NULL))
-    jl_answer_plain (exchange, 400, "want Jl-Config-Version");
+    jl_respond_text (exchange, 400,
+                     "Jl-Config-Version is missing or malformed");
   else if (jl_http_read_body (exchange, JL_CONFIG_SIZE_MAX)
-           != JL_HTTP_BODY_WHOLE)
-    jl_answer_plain (exchange, 413, "document too large or broken");
+           != JL_HTTP_BODY_COMPLETE)
+    jl_respond_text (exchange, 413, "document is too large or incomplete");
   else if (!jl_daemon_install (daemon, body->str, body->len, version, &error))
     {
-      jl_answer_plain (exchange, 422, error->message);
+      jl_respond_text (exchange, 422, error->message);
       g_error_free (error);
     }
   else if (has_newer_config (daemon, version))
-    jl_answer_plain (exchange, 409, "a newer version is in force");
+    jl_respond_text (exchange, 409, "a newer version is in force");
   else
-    jl_answer_plain (exchange, 200, "installed");
+    jl_respond_text (exchange, 200, "installed");
 }
 
+/* Processes a call that the target makes while it runs a work item. */
 static void
 serve_target_call (struct jl_daemon *daemon, struct jl_http_exchange *exchange)
 {
   const char *work = jl_http_header (&exchange->request, "Jl-Work");
   const char *ordinal = jl_http_header (&exchange->request, "Jl-Ordinal");
-  struct jl_incoming incoming = { .ordinal = JL_NONE };
+  struct jl_call_origin origin = { .ordinal = JL_NONE };
   uint64_t number;
 
   if (work == NULL
-      || !g_ascii_string_to_unsigned (work, 10, 1, UINT64_MAX, &incoming.parent,
+      || !g_ascii_string_to_unsigned (work, 10, 1, UINT64_MAX, &origin.parent,
                                       NULL))
     {
-      jl_answer_plain (exchange, 400, "want Jl-Work");
+      jl_respond_text (exchange, 400, "Jl-Work is missing or malformed");
       return;
     }
   if (ordinal != NULL
       && g_ascii_string_to_unsigned (ordinal, 10, 0, JL_NONE - 1, &number,
                                      NULL))
-    incoming.ordinal = (uint32_t)number;
-  jl_serve_call (daemon, exchange, &incoming);
+    origin.ordinal = (uint32_t)number;
+  jl_serve_call (daemon, exchange, &origin);
 }
 
 static void
@@ -210,12 +222,12 @@
   else if (strcmp (exchange->path, "/jl/drain") == 0)
     {
       jl_daemon_drain (daemon);
-      jl_answer_plain (exchange, 200, "draining");
+      jl_respond_text (exchange, 200, "draining");
     }
   else if (strcmp (exchange->path, "/jl/config") == 0)
     serve_new_config (daemon, exchange);
   else
-    jl_answer_plain (exchange, 404, "not found");
+    jl_respond_text (exchange, 404, "not found");
 }
 
 static void
@@ -230,7 +242,7 @@
   else if (strcmp (exchange->path, "/jl/config") == 0)
     jl_daemon_serve_config (daemon, exchange);
   else
-    jl_answer_plain (exchange, 404, "not found");
+    jl_respond_text (exchange, 404, "not found");
 }
 
 void
@@ -245,5 +257,5 @@
   else if (strcmp (exchange->method, "GET") == 0)
     serve_get (context, exchange);
   else
-    jl_answer_plain (exchange, 405, "GET or POST");
+    jl_respond_text (exchange, 405, "method must be GET or POST");
 }
--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -1,5 +1,5 @@
 /**
- * DOC: jackdawladderd, the daemon beside a target.
+ * DOC: jackdawladderd, the daemon that runs beside each target.
  */
 
 #include <argp.h>
@@ -13,15 +13,15 @@
 
 #define EXIT_SETTINGS 1
 #define EXIT_SOCKETS 3
-#define EXIT_CUT_OFF 4
+#define EXIT_REQUESTS_ABORTED 4
 
 const char *argp_program_version = "jackdawladderd 0.1";
 
 static const char doc[]
     = "Overload control beside one target instance.\v"
-      "SIGTERM begins a planned stop: the daemon takes no new work, finishes "
-      "what is in progress and ends. A second one ends it at once.\n\n"
-      "Exit status: 0 stopped as planned, 1 settings refused, 2 usage, "
+      "SIGTERM starts a graceful stop: the daemon refuses new work, finishes "
+      "requests in progress and exits. A second SIGTERM stops it at once.\n\n"
+      "Exit status: 0 graceful stop, 1 invalid settings, 2 invalid usage, "
       "3 a socket could not be opened, 4 stopped with requests in progress.";
 
 static const struct argp_option options[] = {
@@ -51,7 +51,8 @@
 static const struct argp parser
     = { options, parse_option, NULL, doc, NULL, NULL, NULL };
 
-/* Guards the daemon against a signal that comes while it closes. */
+/* Protects signals_daemon, which is NULL before the daemon is open and while it
+   closes. */
 static pthread_mutex_t signals_lock = PTHREAD_MUTEX_INITIALIZER;
 static struct jl_daemon *signals_daemon;
 
@@ -64,7 +65,7 @@
 }
 
 static void
-begin_stop (void)
+start_drain (void)
 {
   pthread_mutex_lock (&signals_lock);
   if (signals_daemon != NULL)
@@ -72,9 +73,12 @@
   pthread_mutex_unlock (&signals_lock);
 }
 
-/* A thread of its own waits for signals; all others have them blocked. */
+/*
+ * Main function of the signal thread. All other threads have the signals
+ * blocked.
+ */
 static void *
-wait_signals (void *context G_GNUC_UNUSED)
+run_signal_thread (void *context G_GNUC_UNUSED)
 {
   sigset_t set;
   int number;
@@ -84,9 +88,9 @@
   sigaddset (&set, SIGINT);
   rcu_register_thread ();
   sigwait (&set, &number);
-  begin_stop ();
+  start_drain ();
   sigwait (&set, &number);
-  _exit (EXIT_CUT_OFF);
+  _exit (EXIT_REQUESTS_ABORTED);
 }
 
 static void
@@ -102,13 +106,13 @@
 }
 
 /*
- * GLib makes the lock of its table of error domains with the first error. It is
- * made here, before there are threads: ThreadSanitizer cannot see into the
- * library, and takes two threads that make their first errors at once for a
- * race.
+ * Creates the first GError before there are threads. GLib initializes the lock
+ * of its table of error domains with the first error. ThreadSanitizer does not
+ * see into the library and reports a data race if two threads create their
+ * first errors at the same time.
  */
 static void
-prepare_errors (void)
+init_error_domains (void)
 {
   g_error_free (g_error_new_literal (JL_PLATFORM_ERROR,
                                      JL_PLATFORM_ERROR_UNKNOWN, "first"));
@@ -124,7 +128,7 @@
   pthread_t signals;
 
   argp_parse (&parser, argc, argv, 0, NULL, &path);
-  prepare_errors ();
+  init_error_domains ();
   settings = jl_settings_load (path, &error);
   if (settings == NULL)
     {
@@ -140,11 +144,11 @@
       return EXIT_SOCKETS;
     }
   set_signals_daemon (daemon);
-  if (pthread_create (&signals, NULL, wait_signals, NULL) != 0)
-    g_error ("cannot start the thread for signals");
+  if (pthread_create (&signals, NULL, run_signal_thread, NULL) != 0)
+    g_error ("cannot start the signal thread");
   pthread_detach (signals);
   if (!jl_daemon_wait_exit (daemon))
-    _exit (EXIT_CUT_OFF);
+    _exit (EXIT_REQUESTS_ABORTED);
   set_signals_daemon (NULL);
   jl_daemon_close (daemon);
   rcu_unregister_thread ();
--- a/source/daemon/work.c
+++ b/source/daemon/work.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A work item's way: admission, the own target, the answer.
+ * DOC: Work items: admission, the run at the target, the outcome.
  */
 
 #include <string.h>
@@ -7,11 +7,11 @@
 #include "daemon/exchange.h"
 
 static enum jl_run_result
-run_result (enum jl_http_result result)
+to_run_result (enum jl_http_result result)
 {
   switch (result)
     {
-    case JL_HTTP_ANSWERED:
+    case JL_HTTP_COMPLETED:
       return JL_RUN_ANSWERED;
     case JL_HTTP_NOT_SENT:
       return JL_RUN_NOT_SENT;
@@ -27,10 +27,10 @@
   return JL_RUN_BROKEN;
 }
 
-/* Sends the request to the target and waits for its answer. */
+/* Sends the request to the target and waits for its response. */
 static enum jl_run_result
 run_at_target (struct jl_daemon *daemon,
-               struct jl_run *run,
+               struct jl_work_run *run,
                struct jl_waiter *waiter,
                uint64_t budget_us)
 {
@@ -41,29 +41,32 @@
     .target = run->target,
     .request = &request,
     .timeout_us = budget_us,
-    .answer_max = run->config->kinds[run->event.kind].answer_bytes,
+    .response_max_bytes = run->config->kinds[run->event.kind].answer_bytes,
     .transfer = &waiter->transfer,
     .lock = &daemon->lock,
   };
   enum jl_http_result result;
-  GString *own_body;
+  GString *empty_body;
 
   jl_http_message_init (&request);
-  own_body = request.body;
+  empty_body = request.body;
   request.body = run->request->body;
   jl_http_copy_headers (&request, run->request);
   jl_http_add_number (&request, "Jl-Work", waiter->number);
   jl_http_add_number (&request, "Jl-Budget-Ms", budget_us / JL_USEC_PER_MSEC);
-  result = jl_http_perform (daemon->pool, &call, &run->status, &run->answer);
-  request.body = own_body;
+  result = jl_http_perform (daemon->pool, &call, &run->status, &run->response);
+  request.body = empty_body;
   jl_http_message_clear (&request);
-  return run_result (result);
+  return to_run_result (result);
 }
 
-/* Names go to numbers under the lock, so that they fit the reducer's. */
+/*
+ * Passes the work item to the reducer. The kind's index is looked up under the
+ * lock, so that it belongs to the configuration that the reducer uses.
+ */
 static void
-begin_work (struct jl_daemon *daemon,
-            struct jl_run *run,
+start_work (struct jl_daemon *daemon,
+            struct jl_work_run *run,
             struct jl_waiter *waiter)
 {
   struct jl_event event = { .type = JL_EVENT_WORK };
@@ -77,36 +80,36 @@
       run->event.kind = jl_config_kind (run->config, run->kind);
       run->event.config_version = run->config->version;
     }
-  g_hash_table_insert (daemon->works, &waiter->number, waiter);
+  g_hash_table_insert (daemon->work_items, &waiter->number, waiter);
   event.work = run->event;
   jl_daemon_step (daemon, &event);
 }
 
 void
-jl_run_work (struct jl_daemon *daemon, struct jl_run *run)
+jl_work_run_execute (struct jl_daemon *daemon, struct jl_work_run *run)
 {
   struct jl_waiter waiter;
   struct jl_effect effect;
 
   jl_waiter_init (&waiter);
-  jl_daemon_begin (daemon);
-  begin_work (daemon, run, &waiter);
-  effect = jl_waiter_next (daemon, &waiter);
+  jl_daemon_lock (daemon);
+  start_work (daemon, run, &waiter);
+  effect = jl_waiter_wait (daemon, &waiter);
   if (effect.type == JL_EFFECT_RUN)
     {
       struct jl_event event = { .type = JL_EVENT_WORK_RESULT };
 
-      jl_daemon_end (daemon);
+      jl_daemon_unlock (daemon);
       event.work_result.work = waiter.number;
       event.work_result.result
           = run_at_target (daemon, run, &waiter, effect.run.budget_us);
       event.work_result.status = run->status;
-      jl_daemon_begin (daemon);
+      jl_daemon_lock (daemon);
       jl_daemon_step (daemon, &event);
-      effect = jl_waiter_next (daemon, &waiter);
+      effect = jl_waiter_wait (daemon, &waiter);
     }
-  g_hash_table_remove (daemon->works, &waiter.number);
-  jl_daemon_end (daemon);
+  g_hash_table_remove (daemon->work_items, &waiter.number);
+  jl_daemon_unlock (daemon);
   run->finish = effect.finish;
   jl_waiter_clear (&waiter);
 }
--- a/source/http/client.c
+++ b/source/http/client.c
@@ -1,8 +1,8 @@
 /**
- * DOC: Requests out, by libcurl over kept connections.
+ * DOC: HTTP client, by libcurl over keep-alive connections.
  *
- * Each handle has one connection at most. The handle used last is taken
- * first, so that few are kept, and idle ones are closed.
+ * Each handle has at most one connection. The most recently used handle is
+ * reused first, so that surplus connections stay idle and are closed.
  */
 
 #include "jackdawladder/http.h"
@@ -11,17 +11,22 @@
 #include <string.h>
 #include <urcu/list.h>
 
-/* An idle connection is closed after this long; less than servers keep one. */
-#define IDLE_MAX_US (2 * JL_USEC_PER_SEC)
-#define IDLE_MAX_S 2L
-/* Time for a new connection. */
+/* Idle time after which a connection is closed; shorter than the keep-alive
+   timeout of the server. */
+#define IDLE_TIMEOUT_US (2 * JL_USEC_PER_SEC)
+#define IDLE_TIMEOUT_S 2L
+/* Limit on the time to open a connection. */
 #define CONNECT_TIMEOUT_US (300 * JL_USEC_PER_MSEC)
-/* Longest single wait for the connection, in milliseconds. */
-#define POLL_MS 1000
+/* Longest single wait for socket activity. */
+#define POLL_MAX_MS 1000
 
 /**
- * struct handle - a libcurl handle with its kept connection
- * @times_sent: requests that this transfer put on a connection
+ * struct handle - libcurl handle with its keep-alive connection
+ * @endpoint: key of the endpoint, see endpoint_key()
+ * @idle: link in struct idle_list
+ * @send_count: how often libcurl has sent the request of this transfer
+ * @too_large: whether the response body exceeded @response_max_bytes
+ * @response: receives the response of this transfer
  */
 struct handle
 {
@@ -30,14 +35,14 @@
   uint64_t endpoint;
   uint64_t idle_since_us;
   struct cds_list_head idle;
-  int times_sent;
+  int send_count;
   bool too_large;
-  uint64_t answer_max;
-  struct jl_http_message *answer;
+  uint64_t response_max_bytes;
+  struct jl_http_message *response;
 };
 
 /**
- * struct idle_list - idle handles of one endpoint, last used first
+ * struct idle_list - idle handles of one endpoint, most recently used first
  */
 struct idle_list
 {
@@ -73,11 +78,11 @@
   g_free (handle);
 }
 
-/* Takes handles that were idle since before @limit_us out of @list. */
+/* Moves handles that became idle at @limit_us or earlier to @expired. */
 static void
-take_expired (struct idle_list *list,
-              uint64_t limit_us,
-              struct cds_list_head *expired)
+remove_expired (struct idle_list *list,
+                uint64_t limit_us,
+                struct cds_list_head *expired)
 {
   while (!cds_list_empty (&list->handles))
     {
@@ -104,7 +109,7 @@
   pthread_mutex_lock (&pool->lock);
   g_hash_table_iter_init (&iterator, pool->endpoints);
   while (g_hash_table_iter_next (&iterator, NULL, &value))
-    take_expired (value, limit_us, &expired);
+    remove_expired (value, limit_us, &expired);
   pthread_mutex_unlock (&pool->lock);
   cds_list_for_each_entry_safe (handle, next, &expired, idle)
       free_handle (handle);
@@ -113,7 +118,7 @@
 void
 jl_http_pool_expire (struct jl_http_pool *pool)
 {
-  expire_before (pool, jl_now () - IDLE_MAX_US);
+  expire_before (pool, jl_now () - IDLE_TIMEOUT_US);
 }
 
 void
@@ -125,28 +130,31 @@
   g_free (pool);
 }
 
-/* Appends a part of the answer's body. */
+/* libcurl callback that appends a part of the response body. */
 static size_t
 receive_body (char *data, size_t size, size_t count, void *context)
 {
   struct handle *handle = context;
 
   size *= count;
-  if (handle->answer->body->len + size > handle->answer_max)
+  if (handle->response->body->len + size > handle->response_max_bytes)
     {
       handle->too_large = true;
       return 0;
     }
-  g_string_append_len (handle->answer->body, data, (gssize)size);
+  g_string_append_len (handle->response->body, data, (gssize)size);
   return size;
 }
 
-/* Keeps a header line of the answer. */
+/*
+ * libcurl callback that stores a header line of the response. A status line
+ * starts a new response after an interim one, so it discards earlier headers.
+ */
 static size_t
 receive_header (char *data, size_t size, size_t count, void *context)
 {
   struct handle *handle = context;
-  GPtrArray *headers = handle->answer->headers;
+  GPtrArray *headers = handle->response->headers;
   size_t length = size * count;
 
   while (length > 0 && g_ascii_isspace (data[length - 1]))
@@ -159,9 +167,10 @@
 }
 
 /*
- * Called before a request is put on a connection. libcurl does that a second
- * time by itself when a kept connection turns out to be dead; the first may
- * have been taken all the same, so the second is not allowed.
+ * libcurl callback before a request is sent on a connection. libcurl resends
+ * the request by itself if a keep-alive connection turns out to be dead. The
+ * server may have processed the first one nevertheless, so the callback
+ * prevents the second.
  */
 static int
 before_request (void *context,
@@ -172,12 +181,12 @@
 {
   struct handle *handle = context;
 
-  handle->times_sent++;
-  return handle->times_sent > 1 ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
+  handle->send_count++;
+  return handle->send_count > 1 ? CURL_PREREQFUNC_ABORT : CURL_PREREQFUNC_OK;
 }
 
 static void
-set_fixed_options (struct handle *handle)
+set_constant_options (struct handle *handle)
 {
   CURL *easy = handle->easy;
 
@@ -186,7 +195,7 @@
   curl_easy_setopt (easy, CURLOPT_PATH_AS_IS, 1L);
   curl_easy_setopt (easy, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (easy, CURLOPT_PROTOCOLS_STR, "http");
-  curl_easy_setopt (easy, CURLOPT_MAXAGE_CONN, IDLE_MAX_S);
+  curl_easy_setopt (easy, CURLOPT_MAXAGE_CONN, IDLE_TIMEOUT_S);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, receive_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, handle);
   curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, receive_header);
@@ -216,8 +225,9 @@
   return list;
 }
 
+/* Takes an idle handle from the pool or creates one. */
 static struct handle *
-take_handle (struct jl_http_pool *pool, struct jl_endpoint endpoint)
+acquire_handle (struct jl_http_pool *pool, struct jl_endpoint endpoint)
 {
   uint64_t key = endpoint_key (endpoint);
   struct handle *handle = NULL;
@@ -238,13 +248,13 @@
   handle->endpoint = key;
   handle->multi = curl_multi_init ();
   handle->easy = curl_easy_init ();
-  set_fixed_options (handle);
+  set_constant_options (handle);
   return handle;
 }
 
-/* Keeps the handle for the next transfer, or frees it. */
+/* Returns the handle to the pool, or frees it if the pool is full. */
 static void
-return_handle (struct jl_http_pool *pool, struct handle *handle, bool keep)
+release_handle (struct jl_http_pool *pool, struct handle *handle, bool keep)
 {
   struct idle_list *list;
 
@@ -318,9 +328,12 @@
   return headers;
 }
 
-/* Makes the transfer known to jl_http_transfer_abort(), or unknown again. */
+/*
+ * Sets the libcurl handle that jl_http_transfer_abort() wakes up, NULL for
+ * none. Returns whether the transfer is already aborted.
+ */
 static bool
-attach (const struct jl_http_call *call, CURLM *multi)
+set_multi (const struct jl_http_call *call, CURLM *multi)
 {
   bool aborted;
 
@@ -348,7 +361,7 @@
     curl_multi_wakeup (transfer->multi);
 }
 
-/* Runs the transfer to its end; CURLE_ABORTED_BY_CALLBACK when aborted. */
+/* Runs the transfer; returns CURLE_ABORTED_BY_CALLBACK if it was aborted. */
 static CURLcode
 run_transfer (struct handle *handle, const struct jl_http_call *call)
 {
@@ -364,7 +377,7 @@
       if (curl_multi_perform (handle->multi, &running) != CURLM_OK)
         return CURLE_FAILED_INIT;
       if (running > 0)
-        curl_multi_poll (handle->multi, NULL, 0, POLL_MS, NULL);
+        curl_multi_poll (handle->multi, NULL, 0, POLL_MAX_MS, NULL);
     }
   while ((message = curl_multi_info_read (handle->multi, &queued)) != NULL)
     if (message->msg == CURLMSG_DONE)
@@ -373,13 +386,13 @@
 }
 
 static enum jl_http_result
-judge (const struct handle *handle,
-       const struct jl_http_call *call,
-       CURLcode code)
+classify_result (const struct handle *handle,
+                 const struct jl_http_call *call,
+                 CURLcode code)
 {
   if (code == CURLE_OK)
-    return JL_HTTP_ANSWERED;
-  if (handle->times_sent == 0)
+    return JL_HTTP_COMPLETED;
+  if (handle->send_count == 0)
     return is_aborted (call) ? JL_HTTP_ABORTED : JL_HTTP_NOT_SENT;
   if (is_aborted (call))
     return JL_HTTP_ABORTED;
@@ -394,28 +407,28 @@
 jl_http_perform (struct jl_http_pool *pool,
                  const struct jl_http_call *call,
                  uint32_t *status,
-                 struct jl_http_message *answer)
+                 struct jl_http_message *response)
 {
-  struct handle *handle = take_handle (pool, call->endpoint);
+  struct handle *handle = acquire_handle (pool, call->endpoint);
   struct curl_slist *headers = set_call_options (handle, call);
   enum jl_http_result result;
   CURLcode code = CURLE_ABORTED_BY_CALLBACK;
-  long number = 0;
+  long status_code = 0;
 
-  handle->answer = answer;
-  handle->answer_max = call->answer_max;
-  handle->times_sent = 0;
+  handle->response = response;
+  handle->response_max_bytes = call->response_max_bytes;
+  handle->send_count = 0;
   handle->too_large = false;
   curl_multi_add_handle (handle->multi, handle->easy);
-  if (!attach (call, handle->multi))
+  if (!set_multi (call, handle->multi))
     code = run_transfer (handle, call);
-  attach (call, NULL);
-  result = judge (handle, call, code);
-  curl_easy_getinfo (handle->easy, CURLINFO_RESPONSE_CODE, &number);
-  *status = (uint32_t)number;
+  set_multi (call, NULL);
+  result = classify_result (handle, call, code);
+  curl_easy_getinfo (handle->easy, CURLINFO_RESPONSE_CODE, &status_code);
+  *status = (uint32_t)status_code;
   curl_multi_remove_handle (handle->multi, handle->easy);
   curl_easy_setopt (handle->easy, CURLOPT_HTTPHEADER, NULL);
   curl_slist_free_all (headers);
-  return_handle (pool, handle, result == JL_HTTP_ANSWERED);
+  release_handle (pool, handle, result == JL_HTTP_COMPLETED);
   return result;
 }
--- a/source/http/message.c
+++ b/source/http/message.c
@@ -7,7 +7,8 @@
 #include <inttypes.h>
 #include <string.h>
 
-static const char *const not_copied[] = {
+/* Headers that jl_http_copy_headers() skips. */
+static const char *const excluded_headers[] = {
   "Connection",
   "Keep-Alive",
   "Transfer-Encoding",
@@ -34,9 +35,9 @@
   g_string_free (message->body, TRUE);
 }
 
-/* Value in a "Name: value" line if it has that name, else NULL. */
+/* Returns the value of a "Name: value" line, NULL if it has another name. */
 static const char *
-value_of (const char *line, const char *name)
+header_value (const char *line, const char *name)
 {
   size_t size = strlen (name);
 
@@ -54,7 +55,7 @@
   for (guint i = 0; i < message->headers->len; i++)
     {
       const char *value
-          = value_of (g_ptr_array_index (message->headers, i), name);
+          = header_value (g_ptr_array_index (message->headers, i), name);
 
       if (value != NULL)
         return value;
@@ -87,8 +88,8 @@
 {
   if (g_ascii_strncasecmp (line, "Jl-", 3) == 0)
     return false;
-  for (size_t i = 0; i < G_N_ELEMENTS (not_copied); i++)
-    if (value_of (line, not_copied[i]) != NULL)
+  for (size_t i = 0; i < G_N_ELEMENTS (excluded_headers); i++)
+    if (header_value (line, excluded_headers[i]) != NULL)
       return false;
   return true;
 }
--- a/source/http/peer.c
+++ b/source/http/peer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Headers of the calls that one daemon sends to another.
+ * DOC: HTTP headers of the calls between daemons.
  */
 
 #include "jackdawladder/peer.h"
@@ -8,20 +8,23 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Version of the headers, their first word. */
+/* Format version, the first word of each header. */
 #define PEER_VERSION "v1"
-#define LINE_SIZE 512
+#define LINE_MAX_BYTES 512
 
-/* Takes the words of a header apart; NULL unless there are @count of them. */
+/*
+ * Splits a header into words. Returns NULL unless the header has @count words
+ * and a known version.
+ */
 static char **
-split_words (const struct jl_http_message *message,
-             const char *header,
-             size_t count)
+split_header (const struct jl_http_message *message,
+              const char *header,
+              size_t count)
 {
   const char *line = jl_http_header (message, header);
   char **words;
 
-  if (line == NULL || strlen (line) >= LINE_SIZE)
+  if (line == NULL || strlen (line) >= LINE_MAX_BYTES)
     return NULL;
   words = g_strsplit (line, " ", (int)count + 1);
   if (g_strv_length (words) == count && strcmp (words[0], PEER_VERSION) == 0)
@@ -59,7 +62,7 @@
 {
   char attempt[JL_ID_TEXT_SIZE];
   char anchor[JL_ID_TEXT_SIZE];
-  char line[LINE_SIZE];
+  char line[LINE_MAX_BYTES];
 
   jl_attempt_id_format (call->attempt, attempt);
   jl_ticket_format (call->anchor, anchor);
@@ -74,21 +77,21 @@
 jl_peer_get_call (const struct jl_http_message *message,
                   struct jl_peer_call *call)
 {
-  char **words = split_words (message, JL_PEER_CALL_HEADER, 9);
-  bool good;
+  char **words = split_header (message, JL_PEER_CALL_HEADER, 9);
+  bool valid;
 
   if (words == NULL)
     return false;
-  good = jl_attempt_id_parse (words[1], &call->attempt)
-         && parse_number_32 (words[2], JL_PRIORITY_COUNT - 1, &call->priority)
-         && parse_number (words[3], INT64_MAX, &call->invested_us)
-         && parse_number (words[4], INT64_MAX, &call->budget_us)
-         && jl_ticket_parse (words[5], &call->anchor)
-         && parse_number_32 (words[6], UINT16_MAX, &call->tokens)
-         && parse_number (words[7], UINT64_MAX, &call->digest)
-         && parse_name (words[8], call->kind);
+  valid = jl_attempt_id_parse (words[1], &call->attempt)
+          && parse_number_32 (words[2], JL_PRIORITY_COUNT - 1, &call->priority)
+          && parse_number (words[3], INT64_MAX, &call->invested_us)
+          && parse_number (words[4], INT64_MAX, &call->budget_us)
+          && jl_ticket_parse (words[5], &call->anchor)
+          && parse_number_32 (words[6], UINT16_MAX, &call->tokens)
+          && parse_number (words[7], UINT64_MAX, &call->digest)
+          && parse_name (words[8], call->kind);
   g_strfreev (words);
-  return good;
+  return valid;
 }
 
 void
@@ -97,7 +100,7 @@
 {
   char attempt[JL_ID_TEXT_SIZE];
   char ticket[JL_ID_TEXT_SIZE];
-  char line[LINE_SIZE];
+  char line[LINE_MAX_BYTES];
 
   jl_attempt_id_format (forward->attempt, attempt);
   jl_ticket_format (forward->ticket, ticket);
@@ -113,12 +116,12 @@
 jl_peer_get_forward (const struct jl_http_message *message,
                      struct jl_peer_forward *forward)
 {
-  char **words = split_words (message, JL_PEER_FORWARD_HEADER, 9);
-  bool good;
+  char **words = split_header (message, JL_PEER_FORWARD_HEADER, 9);
+  bool valid;
 
   if (words == NULL)
     return false;
-  good
+  valid
       = jl_attempt_id_parse (words[1], &forward->attempt)
         && jl_ticket_parse (words[2], &forward->ticket)
         && parse_number_32 (words[3], JL_PRIORITY_COUNT - 1, &forward->priority)
@@ -128,7 +131,7 @@
         && parse_number (words[7], UINT64_MAX, &forward->digest)
         && parse_name (words[8], forward->kind);
   g_strfreev (words);
-  return good;
+  return valid;
 }
 
 static void
@@ -158,7 +161,7 @@
                     const struct jl_config *config)
 {
   char attempt[JL_ID_TEXT_SIZE];
-  char line[LINE_SIZE];
+  char line[LINE_MAX_BYTES];
 
   jl_attempt_id_format (answer->attempt, attempt);
   snprintf (line, sizeof line, PEER_VERSION " %s %s %s %d %u %u %u", attempt,
@@ -170,11 +173,12 @@
     add_report (message, &answer->report, config);
 }
 
-/* Adds one "service=level"; services that are not known here are left out. */
+/* Adds one "service=level" item; unknown services and malformed items are
+   skipped. */
 static void
-parse_item (const char *text,
-            struct jl_report *report,
-            const struct jl_config *config)
+parse_report_item (const char *text,
+                   struct jl_report *report,
+                   const struct jl_config *config)
 {
   const char *equals = strchr (text, '=');
   char name[JL_NAME_SIZE];
@@ -208,7 +212,7 @@
     return;
   items = g_strsplit (line, ",", JL_REPORT_MAX + 1);
   for (char **item = items; *item != NULL; item++)
-    parse_item (*item, report, config);
+    parse_report_item (*item, report, config);
   g_strfreev (items);
 }
 
@@ -217,22 +221,22 @@
                     struct jl_peer_answer *answer,
                     const struct jl_config *config)
 {
-  char **words = split_words (message, JL_PEER_ANSWER_HEADER, 8);
+  char **words = split_header (message, JL_PEER_ANSWER_HEADER, 8);
   uint64_t no_retry = 0;
-  bool good;
+  bool valid;
 
   if (words == NULL)
     return false;
-  good = jl_attempt_id_parse (words[1], &answer->attempt)
-         && jl_outcome_parse (words[2], &answer->outcome)
-         && jl_reason_parse (words[3], &answer->reason)
-         && parse_number (words[4], 1, &no_retry)
-         && parse_number_32 (words[5], UINT32_MAX, &answer->retry_after_ms)
-         && parse_number_32 (words[6], UINT16_MAX, &answer->tokens)
-         && parse_number_32 (words[7], UINT32_MAX,
-                             &answer->report.load_permille);
+  valid = jl_attempt_id_parse (words[1], &answer->attempt)
+          && jl_outcome_parse (words[2], &answer->outcome)
+          && jl_reason_parse (words[3], &answer->reason)
+          && parse_number (words[4], 1, &no_retry)
+          && parse_number_32 (words[5], UINT32_MAX, &answer->retry_after_ms)
+          && parse_number_32 (words[6], UINT16_MAX, &answer->tokens)
+          && parse_number_32 (words[7], UINT32_MAX,
+                              &answer->report.load_permille);
   answer->no_retry = no_retry != 0;
   g_strfreev (words);
   get_report (message, &answer->report, config);
-  return good;
+  return valid;
 }
--- a/source/http/server.c
+++ b/source/http/server.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Requests in, by CivetWeb: a thread for each connection in use.
+ * DOC: HTTP server, by CivetWeb: one thread for each open connection.
  */
 
 #include "jackdawladder/http.h"
@@ -15,22 +15,33 @@
 
 #include "jackdawladder/log.h"
 
-/* Bytes of a request's line and headers. */
-#define HEAD_SIZE_MAX "16384"
-/* A sender that is silent for longer has its connection closed. */
-#define SENDER_TIMEOUT_MS "10000"
-/* An idle connection is kept this long; longer than clients keep one. */
-#define KEEP_ALIVE_MS "5000"
-/* Connections kept when this share of the threads is taken, in percent. */
-#define KEEP_SHARE 75
-#define READ_SIZE 16384
-/* How long connections have to end by themselves when a server closes; longer
-   than idle ones are kept. */
-#define CLOSE_WAIT_US (7 * JL_USEC_PER_SEC)
-/* Connections that were accepted, but no thread has taken up yet, do within. */
-#define CLOSE_QUIET_US (200 * JL_USEC_PER_MSEC)
+/* Limit on the request line and headers. */
+#define HEAD_MAX_BYTES "16384"
+/* A connection is closed if the client sends no data for this time while the
+   server reads a request. */
+#define REQUEST_TIMEOUT_MS "10000"
+/* Idle time after which a connection is closed; longer than the idle timeout of
+   the client. */
+#define KEEP_ALIVE_TIMEOUT_MS "5000"
+/* Connections are kept alive while at most this share of the threads is in
+   use. */
+#define KEEP_ALIVE_LOAD_MAX_PERCENT 75
+#define READ_BUFFER_BYTES 16384
+/* Time that a closing server gives connections to end by themselves; longer
+   than KEEP_ALIVE_TIMEOUT_MS. */
+#define CLOSE_TIMEOUT_US (7 * JL_USEC_PER_SEC)
+/* Time without an open connection after which a closing server stops; accepted
+   connections in the queue get a thread within this time. */
+#define CLOSE_IDLE_US (200 * JL_USEC_PER_MSEC)
 #define CLOSE_POLL_US (2 * JL_USEC_PER_MSEC)
 
+/**
+ * struct jl_http_server - server at one endpoint
+ * @threads: number of worker threads
+ * @connections: open connections that have a thread
+ * @in_progress: requests in progress
+ * @closing: set when the server closes
+ */
 struct jl_http_server
 {
   struct mg_context *context;
@@ -49,13 +60,13 @@
   return g_quark_from_static_string ("jl-http-error");
 }
 
-enum jl_http_body
+enum jl_http_body_result
 jl_http_read_body (struct jl_http_exchange *exchange, uint64_t max)
 {
   struct mg_connection *connection = exchange->connection;
   const struct mg_request_info *info = mg_get_request_info (connection);
   GString *body = exchange->request.body;
-  char buffer[READ_SIZE];
+  char buffer[READ_BUFFER_BYTES];
 
   if (info->content_length > 0 && (uint64_t)info->content_length > max)
     return JL_HTTP_BODY_TOO_LARGE;
@@ -64,7 +75,7 @@
       int count = mg_read (connection, buffer, sizeof buffer);
 
       if (count < 0)
-        return JL_HTTP_BODY_BROKEN;
+        return JL_HTTP_BODY_INCOMPLETE;
       if (count == 0)
         break;
       if (body->len + (size_t)count > max)
@@ -72,8 +83,8 @@
       g_string_append_len (body, buffer, count);
     }
   if (info->content_length > 0 && body->len != (size_t)info->content_length)
-    return JL_HTTP_BODY_BROKEN;
-  return JL_HTTP_BODY_WHOLE;
+    return JL_HTTP_BODY_INCOMPLETE;
+  return JL_HTTP_BODY_COMPLETE;
 }
 
 static const char *
@@ -82,39 +93,40 @@
   return mg_get_response_code_text (NULL, (int)status);
 }
 
-/* Writes head and body at once, so that a small answer is one packet. */
+/* Writes header and body at once, so that a small response is one packet. */
 static void
-write_answer (struct jl_http_exchange *exchange, bool keep)
+write_response (struct jl_http_exchange *exchange, bool keep_alive)
 {
-  const struct jl_http_message *answer = &exchange->answer;
-  GString *out = g_string_sized_new (512 + answer->body->len);
+  const struct jl_http_message *response = &exchange->response;
+  GString *out = g_string_sized_new (512 + response->body->len);
   bool has_body = strcmp (exchange->method, "HEAD") != 0;
 
   g_string_printf (out, "HTTP/1.1 %u %s\r\n", exchange->status,
                    status_text (exchange->status));
-  for (guint i = 0; i < answer->headers->len; i++)
+  for (guint i = 0; i < response->headers->len; i++)
     {
-      g_string_append (out, g_ptr_array_index (answer->headers, i));
+      g_string_append (out, g_ptr_array_index (response->headers, i));
       g_string_append (out, "\r\n");
     }
   g_string_append_printf (out, "Content-Length: %zu\r\nConnection: %s\r\n\r\n",
-                          answer->body->len, keep ? "keep-alive" : "close");
+                          response->body->len,
+                          keep_alive ? "keep-alive" : "close");
   if (has_body)
-    g_string_append_len (out, answer->body->str, (gssize)answer->body->len);
+    g_string_append_len (out, response->body->str, (gssize)response->body->len);
   mg_write (exchange->connection, out->str, out->len);
   g_string_free (out, TRUE);
 }
 
 static void
-take_headers (struct jl_http_exchange *exchange,
-              const struct mg_request_info *info)
+copy_request_headers (struct jl_http_exchange *exchange,
+                      const struct mg_request_info *info)
 {
   for (int i = 0; i < info->num_headers; i++)
     jl_http_add_header (&exchange->request, info->http_headers[i].name,
                         info->http_headers[i].value);
 }
 
-/* Path and query as they came; an absolute form is cut to its path. */
+/* Returns path and query as received; of an absolute URI, only the path. */
 static char *
 make_target (const struct mg_request_info *info)
 {
@@ -125,6 +137,7 @@
   return g_strconcat (uri, "?", info->query_string, NULL);
 }
 
+/* CivetWeb callback that handles one request. */
 static int
 begin_request (struct mg_connection *connection)
 {
@@ -135,22 +148,23 @@
                                        .status = 500,
                                        .connection = connection };
   char *target = make_target (info);
-  bool keep;
+  bool keep_alive;
 
   g_atomic_int_inc (&server->in_progress);
   exchange.target = target;
   jl_http_message_init (&exchange.request);
-  jl_http_message_init (&exchange.answer);
-  take_headers (&exchange, info);
+  jl_http_message_init (&exchange.response);
+  copy_request_headers (&exchange, info);
   server->handle (server->handler_context, &exchange);
-  keep = g_atomic_int_get (&server->connections) * 100
-             <= (int)server->threads * KEEP_SHARE
-         && exchange.status != 400 && exchange.status != 413 && !exchange.close;
-  if (!keep)
+  keep_alive = g_atomic_int_get (&server->connections) * 100
+                   <= (int)server->threads * KEEP_ALIVE_LOAD_MAX_PERCENT
+               && exchange.status != 400 && exchange.status != 413
+               && !exchange.close_connection;
+  if (!keep_alive)
     mg_disable_connection_keep_alive (connection);
-  write_answer (&exchange, keep);
+  write_response (&exchange, keep_alive);
   jl_http_message_clear (&exchange.request);
-  jl_http_message_clear (&exchange.answer);
+  jl_http_message_clear (&exchange.response);
   g_free (target);
   g_atomic_int_add (&server->in_progress, -1);
   return (int)exchange.status;
@@ -224,11 +238,11 @@
     "enable_keep_alive",
     "yes",
     "keep_alive_timeout_ms",
-    KEEP_ALIVE_MS,
+    KEEP_ALIVE_TIMEOUT_MS,
     "request_timeout_ms",
-    SENDER_TIMEOUT_MS,
+    REQUEST_TIMEOUT_MS,
     "max_request_size",
-    HEAD_SIZE_MAX,
+    HEAD_MAX_BYTES,
     "tcp_nodelay",
     "1",
     "connection_queue",
@@ -253,6 +267,7 @@
   return server;
 }
 
+/* Whether a descriptor is a socket that listens at @endpoint. */
 static bool
 listens_at (int fd, struct jl_endpoint endpoint)
 {
@@ -271,56 +286,56 @@
 }
 
 /*
- * CivetWeb goes on accepting until it stops, and then drops what it has just
- * accepted. Its listening socket is replaced by a descriptor that is never
- * readable, so that new connections are refused from here on.
+ * CivetWeb accepts connections until it stops, and then drops those that it has
+ * just accepted. To refuse new connections before, the listening socket is
+ * replaced by a descriptor that is never readable.
  */
 static void
 stop_listening (const struct jl_http_server *server)
 {
   long fd_max = sysconf (_SC_OPEN_MAX);
-  int quiet = eventfd (0, EFD_CLOEXEC);
+  int never_readable = eventfd (0, EFD_CLOEXEC);
 
-  for (int fd = 0; fd < fd_max && quiet >= 0; fd++)
+  for (int fd = 0; fd < fd_max && never_readable >= 0; fd++)
     if (listens_at (fd, server->endpoint))
       {
-        /* The thread that waits at the socket has to let go of it. */
+        /* Wakes the thread that polls the socket, which releases it. */
         shutdown (fd, SHUT_RD);
-        dup2 (quiet, fd);
+        dup2 (never_readable, fd);
         break;
       }
-  if (quiet >= 0)
-    close (quiet);
+  if (never_readable >= 0)
+    close (never_readable);
 }
 
 /*
- * Waits for all requests in progress, and until no connection has been open
- * for a while, or those that are were idle for too long.
+ * Waits for all requests in progress, and until no connection has been open for
+ * CLOSE_IDLE_US or CLOSE_TIMEOUT_US has passed.
  */
 static void
-wait_quiet (struct jl_http_server *server)
+wait_idle (struct jl_http_server *server)
 {
   uint64_t now_us = jl_now ();
-  uint64_t until_us = now_us + CLOSE_WAIT_US;
-  uint64_t busy_us = now_us;
+  uint64_t deadline_us = now_us + CLOSE_TIMEOUT_US;
+  uint64_t last_open_us = now_us;
 
   while (g_atomic_int_get (&server->in_progress) > 0
-         || (now_us < until_us && now_us < busy_us + CLOSE_QUIET_US))
+         || (now_us < deadline_us && now_us < last_open_us + CLOSE_IDLE_US))
     {
       g_usleep (CLOSE_POLL_US);
       now_us = jl_now ();
       if (g_atomic_int_get (&server->connections) > 0)
-        busy_us = now_us;
+        last_open_us = now_us;
     }
 }
 
 void
-jl_http_server_close (struct jl_http_server *server, bool waits)
+jl_http_server_close (struct jl_http_server *server, bool graceful)
 {
   stop_listening (server);
   g_atomic_int_set (&server->closing, 1);
-  if (waits)
-    wait_quiet (server);
+  if (graceful)
+    wait_idle (server);
   mg_stop (server->context);
   g_free (server);
 }
--- a/source/platform/apply.c
+++ b/source/platform/apply.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Puts configurations in force by compare-and-set.
+ * DOC: Replaces the configuration by compare-and-set.
  */
 
 #include "jackdawladder/platform.h"
@@ -9,47 +9,48 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Writes at most, each read back when its outcome is not known. */
-#define APPLY_TRIES 3
+/* Limit on writes; the row is read back after a write of unknown outcome. */
+#define APPLY_ATTEMPT_MAX 3
 
 /**
- * enum verdict - what a row tells of an apply
- * @VERDICT_WON: its version is that of the apply
- * @VERDICT_LOST: its version is of another apply
- * @VERDICT_NOT_YET: the row is still the one before
- * @VERDICT_UNKNOWN: too many versions have followed, or no row could be read
+ * enum apply_result - outcome of an apply according to the stored row
+ * @APPLY_WON: this apply wrote the version
+ * @APPLY_LOST: another apply wrote the version
+ * @APPLY_PENDING: the row still has the previous version
+ * @APPLY_UNKNOWN: the row no longer holds the version's apply identifier, or
+ *                 could not be read
  */
-enum verdict
+enum apply_result
 {
-  VERDICT_WON,
-  VERDICT_LOST,
-  VERDICT_NOT_YET,
-  VERDICT_UNKNOWN,
+  APPLY_WON,
+  APPLY_LOST,
+  APPLY_PENDING,
+  APPLY_UNKNOWN,
 };
 
 static bool
 read_row (struct jl_platform *platform,
-          struct jl_row *row,
+          struct jl_config_row *row,
           char **etag,
           GError **error)
 {
   g_autofree char *value
       = jl_platform_read (platform, JL_PLATFORM_CONFIG_KEY, etag, error);
 
-  return value != NULL && jl_row_parse (row, value, error);
+  return value != NULL && jl_config_row_parse (row, value, error);
 }
 
 bool
 jl_platform_read_config (struct jl_platform *platform,
-                         struct jl_applied *applied,
+                         struct jl_stored_config *stored,
                          char **etag,
                          GError **error)
 {
-  struct jl_row row;
+  struct jl_config_row row;
 
   if (!read_row (platform, &row, etag, error))
     return false;
-  *applied = row.applied;
+  *stored = row.stored;
   return true;
 }
 
@@ -61,17 +62,19 @@
                  "another apply has replaced version %" PRIu64, base_version);
   else
     g_set_error (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_CONFLICT,
-                 "version %" PRIu64 " is in force, not %" PRIu64
-                 " which this was to follow",
+                 "version %" PRIu64 " is in force, not %" PRIu64 " as expected",
                  version, base_version);
   return false;
 }
 
-/* Reads the row that the apply is to replace; @row stays empty for none. */
+/*
+ * Reads the row that the apply will replace and checks its version. @row is
+ * zero-filled if there is none.
+ */
 static bool
 read_base (struct jl_platform *platform,
            uint64_t base_version,
-           struct jl_row *row,
+           struct jl_config_row *row,
            char **etag,
            GError **error)
 {
@@ -82,7 +85,7 @@
     {
       if (!g_error_matches (cause, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_ABSENT))
         {
-          /* Nothing was written, so a lost answer leaves no doubt. */
+          /* Nothing was written, so the outcome of the apply is certain. */
           if (cause->code == JL_PLATFORM_ERROR_UNKNOWN)
             cause->code = JL_PLATFORM_ERROR_UNREACHABLE;
           g_propagate_error (error, cause);
@@ -90,17 +93,17 @@
         }
       g_error_free (cause);
     }
-  g_clear_pointer (&row->applied.text, g_free);
-  if (row->applied.version == base_version)
+  g_clear_pointer (&row->stored.text, g_free);
+  if (row->stored.version == base_version)
     return true;
-  return fail_conflict (row->applied.version, base_version, error);
+  return fail_conflict (row->stored.version, base_version, error);
 }
 
 static bool
-write_next (struct jl_platform *platform,
-            const char *value,
-            const char *etag,
-            GError **error)
+write_row (struct jl_platform *platform,
+           const char *value,
+           const char *etag,
+           GError **error)
 {
   if (etag == NULL)
     return jl_platform_insert (platform, JL_PLATFORM_CONFIG_KEY, value, error);
@@ -108,72 +111,72 @@
                               error);
 }
 
-/* Reads back who put the version of @next in force. */
-static enum verdict
-judge (struct jl_platform *platform,
-       const struct jl_row *next,
-       uint64_t *version)
+/* Reads the row back and determines which apply wrote the version of @next. */
+static enum apply_result
+check_apply (struct jl_platform *platform,
+             const struct jl_config_row *next,
+             uint64_t *version)
 {
   g_autoptr (GError) error = NULL;
-  struct jl_row row;
+  struct jl_config_row row;
   const char *id;
 
   if (!read_row (platform, &row, NULL, &error))
     return g_error_matches (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_ABSENT)
-               ? VERDICT_NOT_YET
-               : VERDICT_UNKNOWN;
-  g_free (row.applied.text);
-  *version = row.applied.version;
-  if (row.applied.version < next->applied.version)
-    return VERDICT_NOT_YET;
-  id = jl_row_id (&row, next->applied.version);
+               ? APPLY_PENDING
+               : APPLY_UNKNOWN;
+  g_free (row.stored.text);
+  *version = row.stored.version;
+  if (row.stored.version < next->stored.version)
+    return APPLY_PENDING;
+  id = jl_config_row_apply_id (&row, next->stored.version);
   if (id == NULL)
-    return VERDICT_UNKNOWN;
-  return strcmp (id, next->applied.apply_id) == 0 ? VERDICT_WON : VERDICT_LOST;
+    return APPLY_UNKNOWN;
+  return strcmp (id, next->stored.apply_id) == 0 ? APPLY_WON : APPLY_LOST;
 }
 
 static bool
 fail_unknown (const GError *cause, GError **error)
 {
   g_set_error (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_UNKNOWN,
-               "the outcome could not be found out: %s", cause->message);
+               "the outcome cannot be determined: %s", cause->message);
   return false;
 }
 
 /*
- * Writes @next in place of the row with @etag. An answer that is lost is
- * settled by reading back; a write that is not there yet may still come, so
- * it is sent again, which is harmless under its condition.
+ * Replaces the row that has @etag by @next. If a response is lost, the row is
+ * read back. A write that is not visible yet may still be executed later, so it
+ * is repeated; the condition makes the repetition safe.
  */
 static bool
-settle (struct jl_platform *platform,
-        const struct jl_row *next,
-        const char *etag,
-        GError **error)
+write_config (struct jl_platform *platform,
+              const struct jl_config_row *next,
+              const char *etag,
+              GError **error)
 {
-  g_autofree char *value = jl_row_format (next);
+  g_autofree char *value = jl_config_row_format (next);
   g_autoptr (GError) cause = NULL;
-  uint64_t base_version = next->applied.version - 1;
+  uint64_t base_version = next->stored.version - 1;
   uint64_t version = base_version;
-  bool doubtful = false;
+  bool maybe_written = false;
 
-  for (int i = 0; i < APPLY_TRIES; i++)
+  for (int i = 0; i < APPLY_ATTEMPT_MAX; i++)
     {
-      enum verdict verdict;
+      enum apply_result result;
 
       g_clear_error (&cause);
-      if (write_next (platform, value, etag, &cause))
+      if (write_row (platform, value, etag, &cause))
         return true;
-      doubtful = doubtful || cause->code == JL_PLATFORM_ERROR_UNKNOWN;
-      if (!doubtful && cause->code != JL_PLATFORM_ERROR_CONFLICT)
+      maybe_written = maybe_written || cause->code == JL_PLATFORM_ERROR_UNKNOWN;
+      if (!maybe_written && cause->code != JL_PLATFORM_ERROR_CONFLICT)
         break;
-      verdict = judge (platform, next, &version);
-      if (verdict == VERDICT_WON)
+      result = check_apply (platform, next, &version);
+      if (result == APPLY_WON)
         return true;
-      if (verdict == VERDICT_LOST || !doubtful)
+      if (result == APPLY_LOST || !maybe_written)
         return fail_conflict (version, base_version, error);
     }
-  if (doubtful)
+  if (maybe_written)
     return fail_unknown (cause, error);
   g_propagate_error (error, g_steal_pointer (&cause));
   return false;
@@ -188,20 +191,20 @@
 {
   g_autofree char *etag = NULL;
   g_autofree char *document = g_strdup (text);
-  struct jl_row base;
-  struct jl_row next;
+  struct jl_config_row base;
+  struct jl_config_row next;
 
   if (!read_base (platform, base_version, &base, &etag, error))
     return false;
   if (base_version > 0 && etag == NULL)
     {
       g_set_error (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_REFUSED,
-                   "platform: the row has no tag");
+                   "platform: the row has no ETag");
       return false;
     }
-  jl_row_follow (&next, base_version == 0 ? NULL : &base, document);
-  if (!settle (platform, &next, etag, error))
+  jl_config_row_next (&next, base_version == 0 ? NULL : &base, document);
+  if (!write_config (platform, &next, etag, error))
     return false;
-  *version = next.applied.version;
+  *version = next.stored.version;
   return true;
 }
--- a/source/platform/claim.c
+++ b/source/platform/claim.c
@@ -1,16 +1,16 @@
 /**
- * DOC: Claims of callers' keys in the platform's table.
+ * DOC: Claims of callers' idempotency keys in the platform's table.
  *
- * A claim's row is never replaced or deleted, and its value is the ticket. So
- * an insert whose answer was lost can be sent again.
+ * The value of a claim's row is the ticket, and the row is never replaced or
+ * deleted. Therefore an insert whose response was lost can be repeated safely.
  */
 
 #include "jackdawladder/platform.h"
 
 #include <inttypes.h>
 
-/* Inserts at most, each read back when its outcome is not known. */
-#define CLAIM_TRIES 3
+/* Limit on inserts; the row is read back after an insert of unknown outcome. */
+#define CLAIM_ATTEMPT_MAX 3
 
 static bool
 read_owner (struct jl_platform *platform,
@@ -25,11 +25,14 @@
   if (jl_ticket_parse (value, owner))
     return true;
   g_set_error (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_REFUSED,
-               "platform: malformed claim");
+               "platform: malformed claim row");
   return false;
 }
 
-/* Tries once. @error is of a kind that tells whether to try again. */
+/*
+ * Inserts the claim once and reads its owner if the insert failed. The error
+ * JL_PLATFORM_ERROR_ABSENT means that the insert can be repeated.
+ */
 static bool
 try_claim (struct jl_platform *platform,
            const char *key,
@@ -67,7 +70,7 @@
       = g_strdup_printf ("%s%016" PRIx64, JL_PLATFORM_CLAIM_PREFIX, key_hash);
   g_autoptr (GError) cause = NULL;
 
-  for (int i = 0; i < CLAIM_TRIES; i++)
+  for (int i = 0; i < CLAIM_ATTEMPT_MAX; i++)
     {
       g_clear_error (&cause);
       if (try_claim (platform, key, ticket, owner, &cause))
--- a/source/platform/platform.c
+++ b/source/platform/platform.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Rows of the platform's table, by conditional HTTP requests.
+ * DOC: Reads and writes rows of the platform's table by conditional HTTP
+ * requests.
  */
 
 #include "jackdawladder/platform.h"
@@ -10,12 +11,13 @@
 
 #include <json-c/json.h>
 
-/* Idle connections to the platform that are kept. */
-#define IDLE_MAX 4
-/* Largest answer in bytes that is taken. */
-#define ANSWER_MAX (UINT64_C (16) << 20)
-/* Sendings of a read whose connection broke, since kept ones may be dead. */
-#define READ_TRIES 2
+/* Idle connections kept to the platform. */
+#define IDLE_CONNECTION_MAX 4
+/* Largest response body that is accepted. */
+#define RESPONSE_MAX_BYTES (UINT64_C (16) << 20)
+/* Attempts of a read whose connection fails; an idle keep-alive connection may
+   be dead. */
+#define READ_ATTEMPT_MAX 2
 
 #define STATUS_NOT_FOUND 404
 #define STATUS_CONDITION_FAILED 412
@@ -34,7 +36,8 @@
 };
 
 /**
- * struct exchange - one request and its answer
+ * struct exchange - one request and its response
+ * @target: path and query
  */
 struct exchange
 {
@@ -42,7 +45,7 @@
   char *target;
   struct jl_http_message request;
   uint32_t status;
-  struct jl_http_message answer;
+  struct jl_http_message response;
 };
 
 struct jl_platform *
@@ -52,7 +55,7 @@
 
   platform->endpoint = endpoint;
   platform->timeout_ms = timeout_ms;
-  platform->pool = jl_http_pool_new (IDLE_MAX);
+  platform->pool = jl_http_pool_new (IDLE_CONNECTION_MAX);
   return platform;
 }
 
@@ -65,7 +68,7 @@
   g_free (platform);
 }
 
-/* Starts an exchange about what follows @start, with @name escaped. */
+/* Initializes an exchange; its target is @start followed by @name, escaped. */
 static void
 init_exchange (struct exchange *exchange,
                const char *method,
@@ -78,14 +81,14 @@
   exchange->method = method;
   exchange->target = g_strconcat (start, escaped, NULL);
   jl_http_message_init (&exchange->request);
-  jl_http_message_init (&exchange->answer);
+  jl_http_message_init (&exchange->response);
 }
 
 static void
 clear_exchange (struct exchange *exchange)
 {
   jl_http_message_clear (&exchange->request);
-  jl_http_message_clear (&exchange->answer);
+  jl_http_message_clear (&exchange->response);
   g_free (exchange->target);
 }
 
@@ -96,7 +99,10 @@
   return false;
 }
 
-/* A server error to a write does not say that it was not carried out. */
+/*
+ * Maps an HTTP status to an error. A server error leaves open whether a write
+ * was executed.
+ */
 static bool
 check_status (const struct exchange *exchange, GError **error)
 {
@@ -115,6 +121,7 @@
   return fail (error, code, why);
 }
 
+/* Sends a request. Only reads are retried, when the connection fails. */
 static enum jl_http_result
 perform (struct jl_platform *platform, struct exchange *exchange)
 {
@@ -124,35 +131,38 @@
           .target = exchange->target,
           .request = &exchange->request,
           .timeout_us = platform->timeout_ms * JL_USEC_PER_MSEC,
-          .answer_max = ANSWER_MAX };
-  int tries = strcmp (exchange->method, "GET") == 0 ? READ_TRIES : 1;
+          .response_max_bytes = RESPONSE_MAX_BYTES };
+  int attempts = strcmp (exchange->method, "GET") == 0 ? READ_ATTEMPT_MAX : 1;
   enum jl_http_result result;
 
   do
     {
-      jl_http_message_clear (&exchange->answer);
-      jl_http_message_init (&exchange->answer);
+      jl_http_message_clear (&exchange->response);
+      jl_http_message_init (&exchange->response);
       result = jl_http_perform (platform->pool, &call, &exchange->status,
-                                &exchange->answer);
+                                &exchange->response);
     }
-  while (--tries > 0 && result == JL_HTTP_BROKEN);
+  while (--attempts > 0 && result == JL_HTTP_BROKEN);
   return result;
 }
 
-/* Runs @exchange to an answer of a status that is no error. */
+/* Sends a request. Returns false with @error unless the status is a success. */
 static bool
-run (struct jl_platform *platform, struct exchange *exchange, GError **error)
+send_exchange (struct jl_platform *platform,
+               struct exchange *exchange,
+               GError **error)
 {
   switch (perform (platform, exchange))
     {
-    case JL_HTTP_ANSWERED:
+    case JL_HTTP_COMPLETED:
       return check_status (exchange, error);
     case JL_HTTP_NOT_SENT:
       return fail (error, JL_PLATFORM_ERROR_UNREACHABLE, "cannot be reached");
     case JL_HTTP_TIMEOUT:
-      return fail (error, JL_PLATFORM_ERROR_UNKNOWN, "no answer in time");
+      return fail (error, JL_PLATFORM_ERROR_UNKNOWN,
+                   "no response within the timeout");
     case JL_HTTP_TOO_LARGE:
-      return fail (error, JL_PLATFORM_ERROR_UNKNOWN, "answer is too large");
+      return fail (error, JL_PLATFORM_ERROR_UNKNOWN, "response is too large");
     default:
       return fail (error, JL_PLATFORM_ERROR_UNKNOWN, "connection broke");
     }
@@ -168,17 +178,20 @@
   char *value = NULL;
 
   init_exchange (&exchange, "GET", "/table/", key);
-  if (run (platform, &exchange, error))
+  if (send_exchange (platform, &exchange, error))
     {
-      value = g_strdup (exchange.answer.body->str);
+      value = g_strdup (exchange.response.body->str);
       if (etag != NULL)
-        *etag = g_strdup (jl_http_header (&exchange.answer, "ETag"));
+        *etag = g_strdup (jl_http_header (&exchange.response, "ETag"));
     }
   clear_exchange (&exchange);
   return value;
 }
 
-/* Writes a row under the condition @name: @condition; NULL for none. */
+/*
+ * Writes a row under the condition in the header @name; a NULL @condition
+ * writes it unconditionally.
+ */
 static bool
 write_row (struct jl_platform *platform,
            const char *key,
@@ -194,7 +207,7 @@
   if (condition != NULL)
     jl_http_add_header (&exchange.request, name, condition);
   g_string_append (exchange.request.body, value);
-  written = run (platform, &exchange, error);
+  written = send_exchange (platform, &exchange, error);
   clear_exchange (&exchange);
   return written;
 }
@@ -218,9 +231,9 @@
   return write_row (platform, key, value, "If-Match", etag, error);
 }
 
-/* Fills @rows from an object of strings. */
+/* Adds the members of an object to @rows; false if one is not a string. */
 static bool
-take_rows (GHashTable *rows, struct json_object *object)
+add_rows (GHashTable *rows, struct json_object *object)
 {
   if (!json_object_is_type (object, json_type_object))
     return false;
@@ -238,10 +251,10 @@
 parse_rows (GHashTable *rows, const char *text)
 {
   struct json_object *object = json_tokener_parse (text);
-  bool good = take_rows (rows, object);
+  bool valid = add_rows (rows, object);
 
   json_object_put (object);
-  return good;
+  return valid;
 }
 
 GHashTable *
@@ -252,12 +265,12 @@
   g_autoptr (GHashTable) rows
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   struct exchange exchange;
-  bool good;
+  bool valid;
 
   init_exchange (&exchange, "GET", "/table?prefix=", prefix);
-  good = run (platform, &exchange, error);
-  if (good && !parse_rows (rows, exchange.answer.body->str))
-    good = fail (error, JL_PLATFORM_ERROR_REFUSED, "malformed list of rows");
+  valid = send_exchange (platform, &exchange, error);
+  if (valid && !parse_rows (rows, exchange.response.body->str))
+    valid = fail (error, JL_PLATFORM_ERROR_REFUSED, "malformed list of rows");
   clear_exchange (&exchange);
-  return good ? g_steal_pointer (&rows) : NULL;
+  return valid ? g_steal_pointer (&rows) : NULL;
 }
--- a/source/platform/row.c
+++ b/source/platform/row.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The configuration's row in the platform's table.
+ * DOC: Encodes and decodes the configuration's row in the platform's table.
  */
 
 #include "platform/row.h"
@@ -19,6 +19,7 @@
   return json_object_get_string (value);
 }
 
+/* Returns the version of a row, 0 if it is missing or invalid. */
 static uint64_t
 get_version (struct json_object *object)
 {
@@ -32,7 +33,7 @@
 }
 
 static bool
-take_earlier (struct jl_row *row, struct json_object *object)
+parse_earlier_ids (struct jl_config_row *row, struct json_object *object)
 {
   struct json_object *list = NULL;
   size_t count;
@@ -41,66 +42,69 @@
     return true;
   if (!json_object_is_type (list, json_type_array))
     return false;
-  count = MIN (json_object_array_length (list), JL_ROW_EARLIER_MAX);
+  count = MIN (json_object_array_length (list), JL_CONFIG_ROW_EARLIER_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
 
       if (!json_object_is_type (item, json_type_string))
         return false;
-      g_strlcpy (row->earlier[i], json_object_get_string (item),
-                 JL_ROW_ID_SIZE);
+      g_strlcpy (row->earlier_ids[i], json_object_get_string (item),
+                 JL_APPLY_ID_SIZE);
     }
   row->earlier_count = (uint32_t)count;
   return true;
 }
 
 static bool
-take_row (struct jl_row *row, struct json_object *object)
+parse_row (struct jl_config_row *row, struct json_object *object)
 {
   const char *id = get_string (object, "apply_id");
   const char *text = get_string (object, "document");
 
-  row->applied.version = get_version (object);
-  if (row->applied.version == 0 || id == NULL || text == NULL
-      || strlen (id) >= JL_ROW_ID_SIZE || !take_earlier (row, object))
+  row->stored.version = get_version (object);
+  if (row->stored.version == 0 || id == NULL || text == NULL
+      || strlen (id) >= JL_APPLY_ID_SIZE || !parse_earlier_ids (row, object))
     return false;
-  g_strlcpy (row->applied.apply_id, id, JL_ROW_ID_SIZE);
-  row->applied.text = g_strdup (text);
+  g_strlcpy (row->stored.apply_id, id, JL_APPLY_ID_SIZE);
+  row->stored.text = g_strdup (text);
   return true;
 }
 
 bool
-jl_row_parse (struct jl_row *row, const char *value, GError **error)
+jl_config_row_parse (struct jl_config_row *row,
+                     const char *value,
+                     GError **error)
 {
   struct json_object *object = json_tokener_parse (value);
-  bool good;
+  bool valid;
 
   memset (row, 0, sizeof *row);
-  good = json_object_is_type (object, json_type_object)
-         && take_row (row, object);
+  valid = json_object_is_type (object, json_type_object)
+          && parse_row (row, object);
   json_object_put (object);
-  if (!good)
+  if (!valid)
     g_set_error (error, JL_PLATFORM_ERROR, JL_PLATFORM_ERROR_REFUSED,
                  "platform: malformed configuration row");
-  return good;
+  return valid;
 }
 
 char *
-jl_row_format (const struct jl_row *row)
+jl_config_row_format (const struct jl_config_row *row)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *earlier = json_object_new_array ();
   char *text;
 
   for (uint32_t i = 0; i < row->earlier_count; i++)
-    json_object_array_add (earlier, json_object_new_string (row->earlier[i]));
-  json_object_object_add (
-      object, "version", json_object_new_int64 ((int64_t)row->applied.version));
+    json_object_array_add (earlier,
+                           json_object_new_string (row->earlier_ids[i]));
+  json_object_object_add (object, "version",
+                          json_object_new_int64 ((int64_t)row->stored.version));
   json_object_object_add (object, "apply_id",
-                          json_object_new_string (row->applied.apply_id));
+                          json_object_new_string (row->stored.apply_id));
   json_object_object_add (object, "document",
-                          json_object_new_string (row->applied.text));
+                          json_object_new_string (row->stored.text));
   json_object_object_add (object, "earlier", earlier);
   text = g_strdup (json_object_to_json_string (object));
   json_object_put (object);
@@ -108,32 +112,34 @@
 }
 
 void
-jl_row_follow (struct jl_row *next, const struct jl_row *row, char *text)
+jl_config_row_next (struct jl_config_row *next,
+                    const struct jl_config_row *row,
+                    char *text)
 {
   g_autofree char *id = g_uuid_string_random ();
   uint32_t kept;
 
   memset (next, 0, sizeof *next);
-  next->applied.version = 1;
-  next->applied.text = text;
-  g_strlcpy (next->applied.apply_id, id, JL_ROW_ID_SIZE);
+  next->stored.version = 1;
+  next->stored.text = text;
+  g_strlcpy (next->stored.apply_id, id, JL_APPLY_ID_SIZE);
   if (row == NULL)
     return;
-  kept = MIN (row->earlier_count, JL_ROW_EARLIER_MAX - 1);
-  next->applied.version = row->applied.version + 1;
-  memcpy (next->earlier[0], row->applied.apply_id, JL_ROW_ID_SIZE);
-  memcpy (next->earlier[1], row->earlier[0], kept * JL_ROW_ID_SIZE);
+  kept = MIN (row->earlier_count, JL_CONFIG_ROW_EARLIER_MAX - 1);
+  next->stored.version = row->stored.version + 1;
+  memcpy (next->earlier_ids[0], row->stored.apply_id, JL_APPLY_ID_SIZE);
+  memcpy (next->earlier_ids[1], row->earlier_ids[0], kept * JL_APPLY_ID_SIZE);
   next->earlier_count = kept + 1;
 }
 
 const char *
-jl_row_id (const struct jl_row *row, uint64_t version)
+jl_config_row_apply_id (const struct jl_config_row *row, uint64_t version)
 {
-  uint64_t age = row->applied.version - version;
+  uint64_t age = row->stored.version - version;
 
-  if (version > row->applied.version)
+  if (version > row->stored.version)
     return NULL;
   if (age == 0)
-    return row->applied.apply_id;
-  return age <= row->earlier_count ? row->earlier[age - 1] : NULL;
+    return row->stored.apply_id;
+  return age <= row->earlier_count ? row->earlier_ids[age - 1] : NULL;
 }
--- a/source/platform/row.h
+++ b/source/platform/row.h
@@ -5,47 +5,64 @@
  * DOC: The configuration's row in the platform's table.
  *
  * JSON: {"version", "apply_id", "document", "earlier"}. "earlier" holds the
- * apply identifiers of the versions before, the latest first, so that an
- * operator whose answer was lost learns the outcome even when others have
- * applied since.
+ * apply identifiers of the previous versions, latest first. An operator whose
+ * response was lost thereby learns the outcome even if other operators have
+ * applied newer versions since.
  */
 
 #include "jackdawladder/platform.h"
 
-/* Earlier apply identifiers that a row keeps. */
-#define JL_ROW_EARLIER_MAX 32
-#define JL_ROW_ID_SIZE sizeof (((struct jl_applied *)NULL)->apply_id)
+/* Number of earlier apply identifiers that a row keeps. */
+#define JL_CONFIG_ROW_EARLIER_MAX 32
+#define JL_APPLY_ID_SIZE sizeof (((struct jl_stored_config *)NULL)->apply_id)
 
 /**
- * struct jl_row - the configuration's row
+ * struct jl_config_row - decoded configuration row
+ * @stored: the version in force
+ * @earlier_ids: apply identifiers of the previous versions, latest first
  */
-struct jl_row
+struct jl_config_row
 {
-  struct jl_applied applied;
+  struct jl_stored_config stored;
   uint32_t earlier_count;
-  char earlier[JL_ROW_EARLIER_MAX][JL_ROW_ID_SIZE];
+  char earlier_ids[JL_CONFIG_ROW_EARLIER_MAX][JL_APPLY_ID_SIZE];
 };
 
 /**
- * jl_row_parse - reads a row; @row->applied.text is to be freed
+ * jl_config_row_parse - decodes a row
+ * @row: receives it; free @row->stored.text with g_free()
+ *
+ * Return: false with JL_PLATFORM_ERROR_REFUSED if @value is malformed.
  */
-bool jl_row_parse (struct jl_row *row, const char *value, GError **error);
+bool jl_config_row_parse (struct jl_config_row *row,
+                          const char *value,
+                          GError **error);
 
 /**
- * jl_row_format - the text of a row, to be freed with g_free()
+ * jl_config_row_format - encodes a row as JSON
+ *
+ * Return: the text, to be freed with g_free().
  */
-char *jl_row_format (const struct jl_row *row);
+char *jl_config_row_format (const struct jl_config_row *row);
 
 /**
- * jl_row_follow - makes @next the row after @row, with an identifier of its own
- * @row: NULL when there is none yet
+ * jl_config_row_next - initializes @next as the successor of @row
+ * @row: NULL for the first version
  * @text: the document; not copied
+ *
+ * @next gets the next version and a new apply identifier.
  */
-void jl_row_follow (struct jl_row *next, const struct jl_row *row, char *text);
+void jl_config_row_next (struct jl_config_row *next,
+                         const struct jl_config_row *row,
+                         char *text);
 
 /**
- * jl_row_id - apply identifier of @version, NULL when the row does not tell
+ * jl_config_row_apply_id - returns the apply identifier of a version
+ *
+ * Return: the identifier, or NULL if the row no longer holds it or @version is
+ * newer than the row.
  */
-const char *jl_row_id (const struct jl_row *row, uint64_t version);
+const char *jl_config_row_apply_id (const struct jl_config_row *row,
+                                    uint64_t version);
 
 #endif
--- a/source/tool/config.c
+++ b/source/tool/config.c
@@ -79,7 +79,7 @@
 read_base (struct jl_platform *platform, uint64_t *base, GError **error)
 {
   GError *cause = NULL;
-  struct jl_applied applied;
+  struct jl_stored_config applied;
 
   *base = 0;
   if (jl_platform_read_config (platform, &applied, NULL, &cause))
@@ -221,7 +221,7 @@
   struct jl_platform *platform
       = jl_platform_new (tool->platform, tool->timeout_ms);
   g_autoptr (GError) error = NULL;
-  struct jl_applied applied;
+  struct jl_stored_config applied;
   enum tool_exit status = TOOL_OK;
 
   if (jl_platform_read_config (platform, &applied, NULL, &error))
--- a/source/tool/http.c
+++ b/source/tool/http.c
@@ -14,9 +14,9 @@
 static enum tool_exit
 judge (enum jl_http_result result, uint32_t status, GString *why)
 {
-  if (result == JL_HTTP_ANSWERED && status == STATUS_OK)
+  if (result == JL_HTTP_COMPLETED && status == STATUS_OK)
     return TOOL_OK;
-  if (result == JL_HTTP_ANSWERED)
+  if (result == JL_HTTP_COMPLETED)
     {
       g_strchomp (why->str);
       g_string_set_size (why, strlen (why->str));
@@ -46,7 +46,7 @@
           .target = path,
           .request = request,
           .timeout_us = tool->timeout_ms * JL_USEC_PER_MSEC,
-          .answer_max = ANSWER_MAX };
+          .response_max_bytes = ANSWER_MAX };
   uint32_t status = 0;
   enum jl_http_result result
       = jl_http_perform (tool->pool, &call, &status, answer);
--- a/tests/bench/latency.c
+++ b/tests/bench/latency.c
@@ -48,7 +48,7 @@
                                .target = bench->path,
                                .request = &request,
                                .timeout_us = TIMEOUT_US,
-                               .answer_max = 1 << 20 };
+                               .response_max_bytes = 1 << 20 };
   enum jl_http_result result;
   uint64_t began_us;
   uint64_t took_us;
@@ -61,7 +61,7 @@
   result = jl_http_perform (bench->pool, &call, &status, &answer);
   took_us = jl_now () - began_us;
   g_mutex_lock (&bench->lock);
-  if (result == JL_HTTP_ANSWERED && status == 200)
+  if (result == JL_HTTP_COMPLETED && status == 200)
     g_array_append_val (bench->times[which], took_us);
   else
     bench->failed[which]++;
--- a/tests/fuzz/row.c
+++ b/tests/fuzz/row.c
@@ -11,18 +11,18 @@
 
 /* A row that was taken comes back the same from its own text. */
 static void
-check (const struct jl_row *row)
+check (const struct jl_config_row *row)
 {
-  char *value = jl_row_format (row);
-  struct jl_row again;
+  char *value = jl_config_row_format (row);
+  struct jl_config_row again;
 
-  if (!jl_row_parse (&again, value, NULL)
-      || again.applied.version != row->applied.version
-      || strcmp (again.applied.apply_id, row->applied.apply_id) != 0
-      || strcmp (again.applied.text, row->applied.text) != 0
+  if (!jl_config_row_parse (&again, value, NULL)
+      || again.stored.version != row->stored.version
+      || strcmp (again.stored.apply_id, row->stored.apply_id) != 0
+      || strcmp (again.stored.text, row->stored.text) != 0
       || again.earlier_count != row->earlier_count)
     abort ();
-  g_free (again.applied.text);
+  g_free (again.stored.text);
   g_free (value);
 }
 
@@ -31,12 +31,12 @@
 {
   char *value = g_strndup ((const char *)data, size);
   GError *error = NULL;
-  struct jl_row row;
+  struct jl_config_row row;
 
-  if (jl_row_parse (&row, value, &error))
+  if (jl_config_row_parse (&row, value, &error))
     {
       check (&row);
-      g_free (row.applied.text);
+      g_free (row.stored.text);
     }
   else if (error == NULL)
     abort ();
--- a/tests/support/table.c
+++ b/tests/support/table.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Fake of the platform's table.
+ * DOC: Fake of the platform's table service.
  */
 
 #include "support/table.h"
@@ -18,7 +18,7 @@
 };
 
 static void
-drop_row (gpointer data)
+free_row (gpointer data)
 {
   struct table_row *row = data;
 
@@ -26,21 +26,22 @@
   g_free (row);
 }
 
+/* Returns the next letter of a script, 'o' after its end. */
 static char
-next_letter (const char **letters)
+next_action (const char **script)
 {
-  return *letters == NULL || **letters == '\0' ? 'o' : *(*letters)++;
+  return *script == NULL || **script == '\0' ? 'o' : *(*script)++;
 }
 
 static uint64_t
 version_of (const char *value)
 {
-  struct jl_row row;
+  struct jl_config_row row;
 
-  if (value == NULL || !jl_row_parse (&row, value, NULL))
+  if (value == NULL || !jl_config_row_parse (&row, value, NULL))
     return 0;
-  g_free (row.applied.text);
-  return row.applied.version;
+  g_free (row.stored.text);
+  return row.stored.version;
 }
 
 static void
@@ -51,19 +52,20 @@
 
   if (strcmp (key, JL_PLATFORM_CONFIG_KEY) == 0
       && version_of (value) != version_of (old == NULL ? NULL : old->value) + 1)
-    table->went_back = true;
+    table->version_skipped = true;
   g_snprintf (row->tag, sizeof row->tag, "\"%" G_GUINT64_FORMAT "\"",
               ++table->last_tag);
   row->value = g_strdup (value);
   g_hash_table_replace (table->rows, g_strdup (key), row);
 }
 
-/* Stores under a condition: a tag, "*" for absent, NULL for none. */
+/* Stores a row if it has the ETag @tag, if it is absent for "*", or always for
+   NULL. */
 static bool
-store_if (struct table *table,
-          const char *key,
-          const char *tag,
-          const char *value)
+store_conditionally (struct table *table,
+                     const char *key,
+                     const char *tag,
+                     const char *value)
 {
   struct table_row *old = g_hash_table_lookup (table->rows, key);
 
@@ -77,7 +79,7 @@
 }
 
 static void
-follow (struct table *table, uint32_t count)
+apply_others (struct table *table, uint32_t count)
 {
   char document[] = "other";
 
@@ -85,22 +87,22 @@
     {
       struct table_row *old
           = g_hash_table_lookup (table->rows, JL_PLATFORM_CONFIG_KEY);
-      struct jl_row row = { .applied.version = 0 };
-      struct jl_row next;
+      struct jl_config_row row = { .stored.version = 0 };
+      struct jl_config_row next;
       char *value;
 
       if (old != NULL)
-        g_assert_true (jl_row_parse (&row, old->value, NULL));
-      jl_row_follow (&next, old == NULL ? NULL : &row, document);
-      value = jl_row_format (&next);
+        g_assert_true (jl_config_row_parse (&row, old->value, NULL));
+      jl_config_row_next (&next, old == NULL ? NULL : &row, document);
+      value = jl_config_row_format (&next);
       store (table, JL_PLATFORM_CONFIG_KEY, value);
       g_free (value);
-      g_free (row.applied.text);
+      g_free (row.stored.text);
     }
 }
 
 static int
-hang_up (struct mg_connection *connection)
+close_without_response (struct mg_connection *connection)
 {
   mg_disable_connection_keep_alive (connection);
   return 1;
@@ -130,11 +132,11 @@
 }
 
 static void
-obey_pending (struct table *table)
+run_pending (struct table *table)
 {
   if (table->pending_key != NULL)
-    store_if (table, table->pending_key, table->pending_tag,
-              table->pending_value);
+    store_conditionally (table, table->pending_key, table->pending_tag,
+                         table->pending_value);
   g_clear_pointer (&table->pending_key, g_free);
   g_clear_pointer (&table->pending_tag, g_free);
   g_clear_pointer (&table->pending_value, g_free);
@@ -147,25 +149,25 @@
              const char *value)
 {
   const char *tag = mg_get_header (connection, "If-Match");
-  char letter = next_letter (&table->writes);
+  char action = next_action (&table->writes);
   bool stored;
 
   table->write_count++;
   if (tag == NULL)
     tag = mg_get_header (connection, "If-None-Match");
-  if (letter == 'e' || letter == 'b')
-    return reply (connection, letter == 'e' ? 503 : 400, "\"\"", "");
-  if (letter == 'p')
+  if (action == 'e' || action == 'b')
+    return reply (connection, action == 'e' ? 503 : 400, "\"\"", "");
+  if (action == 'p')
     keep_pending (table, key, tag, value);
-  if (letter == 'r')
-    follow (table, 1);
-  if (strchr ("dpr", letter) != NULL)
-    return hang_up (connection);
-  stored = store_if (table, key, tag, value);
-  if (letter == 'f')
-    follow (table, table->followers);
-  if (letter != 'o')
-    return hang_up (connection);
+  if (action == 'r')
+    apply_others (table, 1);
+  if (strchr ("dpr", action) != NULL)
+    return close_without_response (connection);
+  stored = store_conditionally (table, key, tag, value);
+  if (action == 'f')
+    apply_others (table, table->other_applies);
+  if (action != 'o')
+    return close_without_response (connection);
   return reply (connection, stored ? 200 : 412, "\"\"", "");
 }
 
@@ -177,11 +179,11 @@
   struct table_row *row = g_hash_table_lookup (table->rows, key);
   int status;
 
-  if (next_letter (&table->reads) == 'd')
-    return hang_up (connection);
+  if (next_action (&table->reads) == 'd')
+    return close_without_response (connection);
   status = row == NULL ? reply (connection, 404, "\"\"", "")
                        : reply (connection, 200, row->tag, row->value);
-  obey_pending (table);
+  run_pending (table);
   return status;
 }
 
@@ -242,7 +244,7 @@
 
   pthread_mutex_init (&table->lock, NULL);
   table->rows
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, drop_row);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_row);
   table->server = mg_start (NULL, NULL, options);
   g_assert_nonnull (table->server);
   mg_set_request_handler (table->server, "/", serve, table);
@@ -280,26 +282,26 @@
 }
 
 void
-table_follow (struct table *table, uint32_t count)
+table_apply_others (struct table *table, uint32_t count)
 {
   pthread_mutex_lock (&table->lock);
-  follow (table, count);
+  apply_others (table, count);
   pthread_mutex_unlock (&table->lock);
 }
 
 void
-table_script_writes (struct table *table, const char *letters)
+table_script_writes (struct table *table, const char *script)
 {
   pthread_mutex_lock (&table->lock);
-  table->writes = letters;
+  table->writes = script;
   pthread_mutex_unlock (&table->lock);
 }
 
 void
-table_script_reads (struct table *table, const char *letters)
+table_script_reads (struct table *table, const char *script)
 {
   pthread_mutex_lock (&table->lock);
-  table->reads = letters;
+  table->reads = script;
   pthread_mutex_unlock (&table->lock);
 }
 
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The client of the platform's table, against a fake of its table.
+ * DOC: Tests of the platform client against a fake of the table service.
  */
 
 #include <criterion/criterion.h>
@@ -12,7 +12,7 @@
 #define TIMEOUT_MS 5000
 #define RACERS 8
 
-/* What every test starts with. */
+/* Set up anew for each test. */
 static struct table *table;
 static struct jl_platform *platform;
 static GError *error;
@@ -29,16 +29,16 @@
 {
   g_clear_error (&error);
   jl_platform_drop (platform);
-  cr_assert_not (table->went_back);
+  cr_assert_not (table->version_skipped);
   table_close (table);
 }
 
 TestSuite (platform, .init = set_up, .fini = tear_down);
 
 static void
-assert_failed (bool done, enum jl_platform_error code)
+assert_failed (bool success, enum jl_platform_error code)
 {
-  cr_assert_not (done);
+  cr_assert_not (success);
   cr_assert_not_null (error);
   cr_assert (g_error_matches (error, JL_PLATFORM_ERROR, (int)code),
              "code %d: %s", error->code, error->message);
@@ -46,9 +46,9 @@
 }
 
 static void
-assert_done (bool done)
+assert_succeeded (bool success)
 {
-  cr_assert (done, "%s", error == NULL ? "" : error->message);
+  cr_assert (success, "%s", error == NULL ? "" : error->message);
   cr_assert_null (error);
 }
 
@@ -56,22 +56,23 @@
 apply (const char *text, uint64_t base)
 {
   uint64_t version = 0;
-  bool done = jl_platform_apply_config (platform, text, base, &version, &error);
+  bool success
+      = jl_platform_apply_config (platform, text, base, &version, &error);
 
-  cr_assert (!done || version == base + 1);
-  return done;
+  cr_assert (!success || version == base + 1);
+  return success;
 }
 
 static void
-assert_in_force (uint64_t version, const char *text)
+assert_config (uint64_t version, const char *text)
 {
-  struct jl_applied applied;
+  struct jl_stored_config stored;
 
   table_script_reads (table, NULL);
-  assert_done (jl_platform_read_config (platform, &applied, NULL, &error));
-  cr_assert_eq (applied.version, version);
-  cr_assert_str_eq (applied.text, text);
-  g_free (applied.text);
+  assert_succeeded (jl_platform_read_config (platform, &stored, NULL, &error));
+  cr_assert_eq (stored.version, version);
+  cr_assert_str_eq (stored.text, text);
+  g_free (stored.text);
 }
 
 Test (platform, reads_and_writes_under_conditions)
@@ -80,15 +81,15 @@
   char *value = jl_platform_read (platform, "a/b", &etag, &error);
 
   assert_failed (value != NULL, JL_PLATFORM_ERROR_ABSENT);
-  assert_done (jl_platform_insert (platform, "a/b", "1", &error));
+  assert_succeeded (jl_platform_insert (platform, "a/b", "1", &error));
   assert_failed (jl_platform_insert (platform, "a/b", "2", &error),
                  JL_PLATFORM_ERROR_CONFLICT);
   value = jl_platform_read (platform, "a/b", &etag, &error);
   cr_assert_str_eq (value, "1");
-  assert_done (jl_platform_replace (platform, "a/b", "3", etag, &error));
+  assert_succeeded (jl_platform_replace (platform, "a/b", "3", etag, &error));
   assert_failed (jl_platform_replace (platform, "a/b", "4", etag, &error),
                  JL_PLATFORM_ERROR_CONFLICT);
-  assert_done (jl_platform_replace (platform, "a/b", "5", NULL, &error));
+  assert_succeeded (jl_platform_replace (platform, "a/b", "5", NULL, &error));
   g_free (value);
   value = jl_platform_read (platform, "a/b", NULL, &error);
   cr_assert_str_eq (value, "5");
@@ -102,7 +103,7 @@
 
   table_store (table, "list", "{\"p/1\":\"one\",\"p/2\":\"\"}");
   rows = jl_platform_list (platform, "p/", &error);
-  assert_done (rows != NULL);
+  assert_succeeded (rows != NULL);
   cr_assert_eq (g_hash_table_size (rows), 2);
   cr_assert_str_eq (g_hash_table_lookup (rows, "p/1"), "one");
   g_hash_table_unref (rows);
@@ -116,12 +117,13 @@
 
 Test (platform, tells_not_sent_from_unknown)
 {
-  struct jl_endpoint nowhere = { .ip = 0x7f140002, .port = 9 };
-  struct jl_platform *lost = jl_platform_new (nowhere, TIMEOUT_MS);
+  struct jl_endpoint closed_endpoint = { .ip = 0x7f140002, .port = 9 };
+  struct jl_platform *unreachable
+      = jl_platform_new (closed_endpoint, TIMEOUT_MS);
 
-  assert_failed (jl_platform_insert (lost, "a", "1", &error),
+  assert_failed (jl_platform_insert (unreachable, "a", "1", &error),
                  JL_PLATFORM_ERROR_UNREACHABLE);
-  jl_platform_drop (lost);
+  jl_platform_drop (unreachable);
   table_script_writes (table, "deb");
   assert_failed (jl_platform_insert (platform, "a", "1", &error),
                  JL_PLATFORM_ERROR_UNKNOWN);
@@ -133,7 +135,7 @@
 
 Test (platform, never_repeats_a_write_on_a_dead_connection)
 {
-  assert_done (jl_platform_insert (platform, "a", "1", &error));
+  assert_succeeded (jl_platform_insert (platform, "a", "1", &error));
   table_script_writes (table, "d");
   assert_failed (jl_platform_replace (platform, "a", "2", NULL, &error),
                  JL_PLATFORM_ERROR_UNKNOWN);
@@ -144,36 +146,35 @@
 {
   char *value;
 
-  assert_done (jl_platform_insert (platform, "a", "1", &error));
+  assert_succeeded (jl_platform_insert (platform, "a", "1", &error));
   table_script_reads (table, "d");
   value = jl_platform_read (platform, "a", NULL, &error);
-  assert_done (value != NULL);
+  assert_succeeded (value != NULL);
   g_free (value);
 }
 
 Test (platform, applies_one_version_after_the_other)
 {
-  struct jl_applied applied;
+  struct jl_stored_config stored;
 
-  assert_failed (jl_platform_read_config (platform, &applied, NULL, &error),
+  assert_failed (jl_platform_read_config (platform, &stored, NULL, &error),
                  JL_PLATFORM_ERROR_ABSENT);
-  assert_done (apply ("{\"first\": \"\xc3\xa9\"}\n// \\ \" end", 0));
-  assert_in_force (1, "{\"first\": \"\xc3\xa9\"}\n// \\ \" end");
-  assert_done (apply ("second", 1));
-  assert_in_force (2, "second");
+  assert_succeeded (apply ("{\"first\": \"\xc3\xa9\"}\n// \\ \" end", 0));
+  assert_config (1, "{\"first\": \"\xc3\xa9\"}\n// \\ \" end");
+  assert_succeeded (apply ("second", 1));
+  assert_config (2, "second");
 }
 
 Test (platform, names_the_conflict)
 {
-  table_follow (table, 3);
+  table_apply_others (table, 3);
   cr_assert_not (apply ("mine", 2));
-  cr_assert_str_eq (error->message,
-                    "version 3 is in force, not 2 which this was to follow");
+  cr_assert_str_eq (error->message, "version 3 is in force, not 2 as expected");
   assert_failed (false, JL_PLATFORM_ERROR_CONFLICT);
   assert_failed (apply ("mine", 0), JL_PLATFORM_ERROR_CONFLICT);
   assert_failed (apply ("mine", 4), JL_PLATFORM_ERROR_CONFLICT);
   cr_assert_eq (table_write_count (table), 0);
-  assert_in_force (3, "other");
+  assert_config (3, "other");
 }
 
 Test (platform, refuses_a_malformed_row)
@@ -192,30 +193,30 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (rows); i++)
     {
-      struct jl_applied applied;
+      struct jl_stored_config stored;
 
       table_store (table, JL_PLATFORM_CONFIG_KEY, rows[i]);
-      assert_failed (jl_platform_read_config (platform, &applied, NULL, &error),
+      assert_failed (jl_platform_read_config (platform, &stored, NULL, &error),
                      JL_PLATFORM_ERROR_REFUSED);
     }
-  table->went_back = false;
+  table->version_skipped = false;
 }
 
 Test (platform, learns_that_its_lost_apply_won)
 {
   table_script_writes (table, "l");
-  assert_done (apply ("mine", 0));
+  assert_succeeded (apply ("mine", 0));
   table_script_writes (table, "l");
-  assert_done (apply ("next", 1));
+  assert_succeeded (apply ("next", 1));
   cr_assert_eq (table_write_count (table), 2);
-  assert_in_force (2, "next");
+  assert_config (2, "next");
 }
 
 Test (platform, learns_that_its_lost_apply_lost)
 {
   table_script_writes (table, "r");
   assert_failed (apply ("mine", 0), JL_PLATFORM_ERROR_CONFLICT);
-  assert_in_force (1, "other");
+  assert_config (1, "other");
 }
 
 Test (platform, sends_a_dropped_apply_again)
@@ -224,30 +225,30 @@
   cr_assert_not (apply ("mine", 0));
   assert_failed (false, JL_PLATFORM_ERROR_UNKNOWN);
   table_script_writes (table, "de");
-  assert_done (apply ("mine", 0));
-  assert_in_force (1, "mine");
+  assert_succeeded (apply ("mine", 0));
+  assert_config (1, "mine");
 }
 
 Test (platform, knows_its_apply_that_came_late)
 {
   table_script_writes (table, "p");
-  assert_done (apply ("mine", 0));
+  assert_succeeded (apply ("mine", 0));
   cr_assert_eq (table_write_count (table), 2);
-  assert_in_force (1, "mine");
+  assert_config (1, "mine");
 }
 
 Test (platform, knows_its_apply_below_others)
 {
   table_script_writes (table, "f");
-  table->followers = JL_ROW_EARLIER_MAX;
-  assert_done (apply ("mine", 0));
-  assert_in_force (1 + JL_ROW_EARLIER_MAX, "other");
+  table->other_applies = JL_CONFIG_ROW_EARLIER_MAX;
+  assert_succeeded (apply ("mine", 0));
+  assert_config (1 + JL_CONFIG_ROW_EARLIER_MAX, "other");
 }
 
 Test (platform, admits_that_too_many_others_have_followed)
 {
   table_script_writes (table, "f");
-  table->followers = JL_ROW_EARLIER_MAX + 1;
+  table->other_applies = JL_CONFIG_ROW_EARLIER_MAX + 1;
   assert_failed (apply ("mine", 0), JL_PLATFORM_ERROR_UNKNOWN);
 }
 
@@ -256,7 +257,7 @@
   table_script_writes (table, "lll");
   table_script_reads (table, "odddddd");
   assert_failed (apply ("mine", 0), JL_PLATFORM_ERROR_UNKNOWN);
-  assert_in_force (1, "mine");
+  assert_config (1, "mine");
 }
 
 Test (platform, says_that_nothing_was_written_when_it_could_not_read)
@@ -267,8 +268,8 @@
 }
 
 /**
- * struct racer - one of several operators or daemons at once
- * @outcome: an enum jl_platform_error, or -1 when it won
+ * struct racer - one of several concurrent operators or daemons
+ * @outcome: an enum jl_platform_error, or -1 on success
  */
 struct racer
 {
@@ -325,7 +326,8 @@
     g_thread_join (racers[i].thread);
 }
 
-/* Races for version @base + 1 and checks that one has it and all know. */
+/* Runs concurrent applies on version @base. Exactly one must succeed; the
+   others must report the conflict. */
 static void
 check_race (uint64_t base)
 {
@@ -351,7 +353,7 @@
       g_snprintf (text, sizeof text, "by %u", i);
     }
   cr_assert_eq (winners, 1);
-  assert_in_force (base + 1, text);
+  assert_config (base + 1, text);
 }
 
 Test (platform, lets_one_of_racing_applies_win)
@@ -376,7 +378,7 @@
       = { .minter = { .member = 1, .epoch = 2 }, .number = number };
   struct jl_ticket owner = { .number = 0 };
 
-  assert_done (jl_platform_claim (platform, 7, ticket, &owner, &error));
+  assert_succeeded (jl_platform_claim (platform, 7, ticket, &owner, &error));
   return owner;
 }
 
