--- a/tests/random/caller.c
+++ b/tests/random/caller.c
@@ -1,5 +1,7 @@
 /**
- * DOC: Callers, polite and not, that send a request again at any entry.
+ * DOC: Fake callers, which retry a request at a random daemon.
+ *
+ * Some wait for the time that the answer asks for, some retry earlier.
  */
 
 #include "core/core-impl.h"
@@ -32,16 +34,16 @@
 
   sending->serial = ++world->next_serial;
   sending->request = request;
-  sending->path = request->id;
+  sending->path_hash = request->id;
   sending->root = sending;
   sending->open = true;
   g_ptr_array_add (world->owned, sending);
   return sending;
 }
 
-/* A request without a key is another one each time it is sent. */
+/* Without a key, each sending counts as a new request. */
 static struct request *
-name_request (struct world *world, struct caller *caller)
+identify_request (struct world *world, struct caller *caller)
 {
   uint64_t id[2] = { ++world->next_request, 1 };
   bool keeps_key = caller->key_type == JL_KEY_TICKET
@@ -60,11 +62,11 @@
   struct caller *caller = sending->caller;
   struct jl_event_call event = { .kind = kind_index (node, caller->kind) };
 
-  event.config_version = version_of (node);
+  event.config_version = config_version_of (node);
   event.key_type = caller->key_type;
   event.ticket = caller->ticket;
   event.key_hash = caller->key_hash;
-  event.digest = sending->path;
+  event.digest = sending->path_hash;
   caller->call = node->next_number + 1;
   call_node (node, sending, NULL, &event);
 }
@@ -75,8 +77,8 @@
 static void
 send_again (struct world *world, struct caller *caller, uint64_t delay_us)
 {
-  if (caller->left-- > 0)
-    post (world, delay_us, send_request, caller);
+  if (caller->retries_left-- > 0)
+    schedule (world, delay_us, send_request, caller);
 }
 
 static void
@@ -91,11 +93,12 @@
   sending->open = false;
   event.call_gone = caller->call;
   if (caller->call != 0)
-    post_event (caller->entry, caller->entry_life, between (world, 300, 3000),
-                &event);
+    schedule_event (caller->entry, caller->entry_generation,
+                    random_between (world, 300, 3000), &event);
   send_again (world, caller,
-              chance (world, 500) ? between (world, 1, 20000)
-                                  : between (world, 20000, 2000000));
+              random_chance (world, 500)
+                  ? random_between (world, 1, 20000)
+                  : random_between (world, 20000, 2000000));
 }
 
 static void
@@ -106,63 +109,66 @@
   struct caller *caller = argument;
   struct sending *sending;
 
-  caller->request = name_request (world, caller);
+  caller->request = identify_request (world, caller);
   sending = new_sending (world, caller->request);
   sending->caller = caller;
   caller->sending = sending;
-  caller->entry = &world->nodes[pick (world, world->plan->node_count)];
-  caller->entry_life = caller->entry->life;
+  caller->entry = &world->nodes[random_below (world, world->plan->node_count)];
+  caller->entry_generation = caller->entry->generation;
   caller->call = 0;
-  post_to (caller->entry, caller->entry_life, between (world, 300, 3000),
-           arrive, sending);
-  post (world,
-        chance (world, 300) ? between (world, 3000, 200000)
-                            : between (world, 200000, 5000000),
-        give_up, sending);
+  schedule_on_node (caller->entry, caller->entry_generation,
+                    random_between (world, 300, 3000), arrive, sending);
+  schedule (world,
+            random_chance (world, 300)
+                ? random_between (world, 3000, 200000)
+                : random_between (world, 200000, 5000000),
+            give_up, sending);
 }
 
 /**
- * struct told - an answer on its way to a caller
+ * struct caller_reply - an answer in transit to a caller
  */
-struct told
+struct caller_reply
 {
   struct sending *sending;
   struct jl_effect_answer answer;
 };
 
 static void
-hear_answer (struct world *world,
-             struct node *node G_GNUC_UNUSED,
-             void *argument)
+deliver_answer (struct world *world,
+                struct node *node G_GNUC_UNUSED,
+                void *argument)
 {
-  const struct told *told = argument;
-  const struct jl_effect_answer *answer = &told->answer;
-  struct sending *sending = told->sending;
+  const struct caller_reply *caller_reply = argument;
+  const struct jl_effect_answer *answer = &caller_reply->answer;
+  struct sending *sending = caller_reply->sending;
   uint64_t wait_us = answer->retry_after_ms * JL_USEC_PER_MSEC;
 
   if (!sending->open)
     return;
   sending->open = false;
-  observe_told (sending, answer->outcome, answer->sending);
+  observe_outcome (sending, answer->outcome, answer->sending);
   if (answer->next_ticket.number != 0)
     g_array_append_val (world->tickets, answer->next_ticket);
   if (answer->outcome == JL_OUTCOME_DONE || answer->retry_after_ms == 0)
     return;
   send_again (world, sending->caller,
-              chance (world, 800) ? wait_us : between (world, 1, 200000));
+              random_chance (world, 800) ? wait_us
+                                         : random_between (world, 1, 200000));
 }
 
 void
 answer_caller (struct sending *sending, const struct jl_effect_answer *answer)
 {
   struct world *world = sending->caller->entry->world;
-  struct told *told = g_new (struct told, 1);
-
-  told->sending = sending;
-  told->answer = *answer;
-  g_ptr_array_add (world->owned, told);
-  if (!chance (world, 10))
-    post (world, between (world, 300, 3000), hear_answer, told);
+  struct caller_reply *caller_reply = g_new (struct caller_reply, 1);
+
+  caller_reply->sending = sending;
+  caller_reply->answer = *answer;
+  g_ptr_array_add (world->owned, caller_reply);
+  if (!random_chance (world, 10))
+    schedule (world, random_between (world, 300, 3000), deliver_answer,
+              caller_reply);
 }
 
 void
@@ -172,7 +178,7 @@
 
   caller->kind = input->argument;
   caller->key_type = (enum jl_key_type)input->key;
-  caller->left = pick (world, SENDINGS_MAX);
+  caller->retries_left = random_below (world, SENDINGS_MAX);
   caller->poison = input->duration_us > 0;
   if (caller->key_type == JL_KEY_CALLER)
     caller->key_hash = ++world->next_request;
@@ -184,7 +190,7 @@
         caller->key_type = JL_KEY_NONE;
       else
         {
-          index = pick (world, world->tickets->len);
+          index = random_below (world, world->tickets->len);
           caller->ticket
               = g_array_index (world->tickets, struct jl_ticket, index);
           g_array_remove_index_fast (world->tickets, index);
--- a/tests/random/faults.c
+++ b/tests/random/faults.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Starts, stops and faults of daemons, targets, network and platform.
+ * DOC: Starts and stops daemons, and injects faults into daemons, targets, the
+ * network and the platform.
  */
 
 #include <stdio.h>
@@ -8,23 +9,23 @@
 #include "core/core-impl.h"
 #include "world.h"
 
-#define POLL_US (2 * JL_USEC_PER_SEC)
-#define ANNOUNCE_US (1 * JL_USEC_PER_SEC)
+#define POLL_INTERVAL_US (2 * JL_USEC_PER_SEC)
+#define ANNOUNCE_INTERVAL_US (1 * JL_USEC_PER_SEC)
 #define SLOTS 6
-/* How long after a fault others may still act on what they knew before. */
-#define BLUR_US (6 * JL_USEC_PER_SEC)
+/* Time after a fault during which daemons may act on an outdated view. */
+#define STALE_VIEW_US (6 * JL_USEC_PER_SEC)
 
-/* Notes from when on a target takes no work, or takes it again. */
+/* Records when a target stops accepting work, and when it accepts it again. */
 static void
-note_gone (struct node *node)
+update_availability (struct node *node)
 {
   bool gone = node->core == NULL || node->core->draining || !node->target_up
               || node->target_leaving;
 
   if (!gone)
-    node->gone_us = 0;
-  else if (node->gone_us == 0)
-    node->gone_us = node->world->now_us;
+    node->unavailable_since_us = 0;
+  else if (node->unavailable_since_us == 0)
+    node->unavailable_since_us = node->world->now_us;
 }
 
 static void
@@ -33,10 +34,11 @@
   struct jl_event event = { .type = JL_EVENT_SEED };
 
   event.seed.control = jl_member_endpoint (jl_print_member (other + 1));
-  post_event (node, node->life, between (node->world, 1, 100000), &event);
+  schedule_event (node, node->generation,
+                  random_between (node->world, 1, 100000), &event);
 }
 
-/* The version that a read of the platform's table gives; some are late. */
+/* Polls the platform; some reads return an old configuration version. */
 static void
 poll_platform (struct world *world,
                struct node *node,
@@ -45,15 +47,16 @@
   struct jl_event event = { .type = JL_EVENT_CONFIG };
   uint32_t newest = world->configs->len - 1;
 
-  post_to (node, node->life, POLL_US, poll_platform, NULL);
+  schedule_on_node (node, node->generation, POLL_INTERVAL_US, poll_platform,
+                    NULL);
   if (world->outage_until_us > world->now_us)
     return;
-  if (chance (world, 150))
-    newest = pick (world, newest + 1);
+  if (random_chance (world, 150))
+    newest = random_below (world, newest + 1);
   event.config = g_ptr_array_index (world->configs, newest);
   step (node, &event);
   if (node->core != NULL)
-    seed_node (node, pick (world, world->plan->node_count));
+    seed_node (node, random_below (world, world->plan->node_count));
 }
 
 static void
@@ -63,14 +66,15 @@
 {
   struct jl_event event = { .type = JL_EVENT_ANNOUNCE };
 
-  post_to (node, node->life, ANNOUNCE_US, announce, NULL);
+  schedule_on_node (node, node->generation, ANNOUNCE_INTERVAL_US, announce,
+                    NULL);
   if (!node->target_up || node->target_leaving)
     return;
   snprintf (event.announce.service, JL_NAME_SIZE, "s%u",
             node->index % world->plan->service_count);
   event.announce.slots = SLOTS;
   event.announce.connections = 64;
-  event.announce.started = node->target_life;
+  event.announce.started = node->target_generation;
   step (node, &event);
 }
 
@@ -89,13 +93,13 @@
   snprintf (options.zone, sizeof options.zone, "z%u", node->zone);
   options.seed = g_rand_int (world->random);
   options.switched_off = world->plan->switched_off;
-  node->offset_us = between (world, 0, 1000 * JL_USEC_PER_SEC);
+  node->offset_us = random_between (world, 0, 1000 * JL_USEC_PER_SEC);
   options.now_us = world->now_us + node->offset_us;
   node->core = jl_core_new (&options);
-  node->life++;
+  node->generation++;
   node->tick_us = 0;
   node->frozen_until_us = 0;
-  node->blurred_until_us = world->now_us + BLUR_US;
+  node->stale_until_us = world->now_us + STALE_VIEW_US;
   node->config_version = 0;
   node->next_number = 0;
   node->calls
@@ -104,10 +108,13 @@
       = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   node->stored = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (uint32_t i = 0; i < 3; i++)
-    seed_node (node, pick (world, world->plan->node_count));
-  post_to (node, node->life, between (world, 1, 300000), poll_platform, NULL);
-  post_to (node, node->life, between (world, 1, ANNOUNCE_US), announce, NULL);
-  note_gone (node);
+    seed_node (node, random_below (world, world->plan->node_count));
+  schedule_on_node (node, node->generation, random_between (world, 1, 300000),
+                    poll_platform, NULL);
+  schedule_on_node (node, node->generation,
+                    random_between (world, 1, ANNOUNCE_INTERVAL_US), announce,
+                    NULL);
+  update_availability (node);
 }
 
 void
@@ -121,7 +128,7 @@
   node->calls = NULL;
   node->works = NULL;
   node->stored = NULL;
-  note_gone (node);
+  update_availability (node);
 }
 
 void
@@ -137,19 +144,21 @@
   struct jl_event event = { .type = JL_EVENT_CONFIG };
   struct node *other = node_at (node->world, peer);
 
-  if (other == NULL || other->core == NULL || is_cut (node->world, node, other)
+  if (other == NULL || other->core == NULL
+      || is_partitioned (node->world, node, other)
       || other->frozen_until_us > node->world->now_us
       || other->core->config == NULL)
     return;
   event.config = g_ptr_array_index (node->world->configs,
                                     (uint32_t)other->core->config->version - 1);
-  post_event (node, node->life, between (node->world, 500, 5000), &event);
+  schedule_event (node, node->generation,
+                  random_between (node->world, 500, 5000), &event);
 }
 
 static void
-come_back (struct world *world G_GNUC_UNUSED,
-           struct node *unused G_GNUC_UNUSED,
-           void *argument)
+restart_node (struct world *world G_GNUC_UNUSED,
+              struct node *unused G_GNUC_UNUSED,
+              void *argument)
 {
   struct node *node = argument;
 
@@ -158,23 +167,24 @@
 }
 
 static void
-target_back (struct world *world G_GNUC_UNUSED,
-             struct node *unused G_GNUC_UNUSED,
-             void *argument)
+restore_target (struct world *world G_GNUC_UNUSED,
+                struct node *unused G_GNUC_UNUSED,
+                void *argument)
 {
   struct node *node = argument;
 
   if (!node->target_up)
-    node->target_life++;
+    node->target_generation++;
   node->target_up = true;
   node->target_leaving = false;
-  note_gone (node);
+  update_availability (node);
 }
 
+/* Does nothing itself: the next item after a freeze replays the backlog. */
 static void
-wake (struct world *world G_GNUC_UNUSED,
-      struct node *node G_GNUC_UNUSED,
-      void *argument G_GNUC_UNUSED)
+trigger_backlog (struct world *world G_GNUC_UNUSED,
+                 struct node *node G_GNUC_UNUSED,
+                 void *argument G_GNUC_UNUSED)
 {
 }
 
@@ -182,20 +192,24 @@
 freeze (struct node *node, uint64_t duration_us)
 {
   node->frozen_until_us = node->world->now_us + duration_us;
-  node->blurred_until_us = node->frozen_until_us + BLUR_US;
-  post_to (node, node->life, duration_us + 1, wake, NULL);
+  node->stale_until_us = node->frozen_until_us + STALE_VIEW_US;
+  schedule_on_node (node, node->generation, duration_us + 1, trigger_backlog,
+                    NULL);
 }
 
 static void
-cut (struct world *world, uint32_t a, uint32_t b, uint64_t duration_us)
+partition_zones (struct world *world,
+                 uint32_t a,
+                 uint32_t b,
+                 uint64_t duration_us)
 {
   uint64_t until_us = world->now_us + duration_us;
 
   if (a == b)
     return;
-  world->cut_until_us[a][b] = until_us;
-  world->cut_until_us[b][a] = until_us;
-  world->calm_from_us = MAX (world->calm_from_us, until_us + BLUR_US);
+  world->partitioned_until_us[a][b] = until_us;
+  world->partitioned_until_us[b][a] = until_us;
+  world->stable_from_us = MAX (world->stable_from_us, until_us + STALE_VIEW_US);
 }
 
 static void
@@ -203,10 +217,10 @@
 {
   struct jl_event event = { .type = JL_EVENT_DRAIN };
 
-  if (node->gone_us == 0)
-    node->gone_us = node->world->now_us;
-  post_event (node, node->life, 0, &event);
-  post (node->world, duration_us + 5 * JL_USEC_PER_SEC, come_back, node);
+  if (node->unavailable_since_us == 0)
+    node->unavailable_since_us = node->world->now_us;
+  schedule_event (node, node->generation, 0, &event);
+  schedule (node->world, duration_us + 5 * JL_USEC_PER_SEC, restart_node, node);
 }
 
 static void
@@ -215,11 +229,14 @@
   struct jl_event event = { .type = JL_EVENT_TARGET_LEAVE };
 
   node->target_leaving = true;
-  note_gone (node);
-  post_event (node, node->life, 1000, &event);
+  update_availability (node);
+  schedule_event (node, node->generation, 1000, &event);
 }
 
-/* Two operators at once: both read one version, one of them wins. */
+/*
+ * Adds the next configuration version. If two operators change the same
+ * version at once, one of them wins, which also adds one version.
+ */
 static void
 apply (struct world *world)
 {
@@ -243,19 +260,19 @@
       return;
     case INPUT_CRASH:
       stop_node (node);
-      post (world, input->duration_us, come_back, node);
+      schedule (world, input->duration_us, restart_node, node);
       return;
     case INPUT_TARGET_SLOW:
       node->target_slow_until_us = world->now_us + input->duration_us;
       return;
     case INPUT_TARGET_CRASH:
       crash_target (node);
-      note_gone (node);
-      post (world, input->duration_us, target_back, node);
+      update_availability (node);
+      schedule (world, input->duration_us, restore_target, node);
       return;
     case INPUT_TARGET_LEAVE:
       leave (node);
-      post (world, input->duration_us, target_back, node);
+      schedule (world, input->duration_us, restore_target, node);
       return;
     case INPUT_DRAIN:
       drain (node, input->duration_us);
@@ -273,16 +290,16 @@
     case INPUT_REQUEST:
       begin_request (world, input);
       return;
-    case INPUT_CUT:
-      cut (world, input->node, input->argument, input->duration_us);
+    case INPUT_PARTITION:
+      partition_zones (world, input->node, input->argument, input->duration_us);
       return;
     case INPUT_OUTAGE:
       world->outage_until_us = world->now_us + input->duration_us;
       return;
     case INPUT_LOSS:
       world->loss_until_us = world->now_us + input->duration_us;
-      world->calm_from_us
-          = MAX (world->calm_from_us, world->loss_until_us + BLUR_US);
+      world->stable_from_us
+          = MAX (world->stable_from_us, world->loss_until_us + STALE_VIEW_US);
       return;
     case INPUT_APPLY:
       apply (world);
--- a/tests/random/http.c
+++ b/tests/random/http.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Carries out effects: requests between daemons, messages and claims.
+ * DOC: Executes effects of the reducers: requests between daemons, messages
+ * and claims.
  */
 
 #include <string.h>
@@ -8,24 +9,25 @@
 #include "core/core-impl.h"
 #include "world.h"
 
-/* In 1000; more while there is loss. */
-#define LOSS_NORMAL 10
-#define LOSS_HEAVY 150
+/* Loss rate without and with a loss fault. */
+#define LOSS_BASE_PERMILLE 10
+#define LOSS_FAULT_PERMILLE 150
 
 static bool
 is_lost (struct world *world)
 {
-  return chance (world, world->loss_until_us > world->now_us ? LOSS_HEAVY
-                                                             : LOSS_NORMAL);
+  return random_chance (world, world->loss_until_us > world->now_us
+                                   ? LOSS_FAULT_PERMILLE
+                                   : LOSS_BASE_PERMILLE);
 }
 
-/* Time on the network; a few things come much later than the others. */
+/* Network latency in microseconds; 4 % of the deliveries are much slower. */
 static uint64_t
-travel (struct world *world)
+network_delay_us (struct world *world)
 {
-  if (chance (world, 40))
-    return between (world, 2000, 300000);
-  return between (world, 200, 2000);
+  if (random_chance (world, 40))
+    return random_between (world, 2000, 300000);
+  return random_between (world, 200, 2000);
 }
 
 static void
@@ -38,13 +40,14 @@
   exchange->open = false;
   gone.call_gone = exchange->remote;
   if (exchange->forward && exchange->remote != 0)
-    post_event (exchange->to, exchange->to_life, travel (exchange->from->world),
-                &gone);
+    schedule_event (exchange->to, exchange->to_generation,
+                    network_delay_us (exchange->from->world), &gone);
 }
 
 /**
- * struct reply - the end of an exchange, on its way to the sender
- * @repeated: a second copy, of which an edge should know better
+ * struct reply - result of an exchange, in transit to the sender
+ * @body: the run whose answer the reply carries, NULL for none
+ * @repeated: whether this may be a duplicate, which the sender has to ignore
  */
 struct reply
 {
@@ -95,7 +98,7 @@
   step (node, &event);
 }
 
-/* Ends an exchange at its sender after a while. */
+/* Schedules the delivery of a reply to the sender of an exchange. */
 static void
 post_reply (struct exchange *exchange,
             uint64_t delay_us,
@@ -107,7 +110,8 @@
   *copy = *reply;
   copy->exchange = exchange;
   g_ptr_array_add (world->owned, copy);
-  post_to (exchange->from, exchange->from_life, delay_us, deliver_reply, copy);
+  schedule_on_node (exchange->from, exchange->from_generation, delay_us,
+                    deliver_reply, copy);
 }
 
 static void
@@ -120,17 +124,17 @@
   post_reply (exchange, delay_us, &reply);
 }
 
-/* The receiver has answered. */
+/* Sends the answer of the receiver back to the sender, unless it is lost. */
 static void
 answer_exchange (struct node *node,
                  struct exchange *exchange,
                  struct reply *reply)
 {
   struct world *world = node->world;
-  uint64_t delay_us = travel (world);
+  uint64_t delay_us = network_delay_us (world);
 
   reply->result.result = JL_SEND_ANSWERED;
-  if (is_cut (world, exchange->from, node))
+  if (is_partitioned (world, exchange->from, node))
     return;
   if (is_lost (world) && exchange->from != node)
     {
@@ -138,9 +142,9 @@
       return;
     }
   post_reply (exchange, delay_us, reply);
-  reply->repeated = chance (world, 30);
+  reply->repeated = random_chance (world, 30);
   if (reply->repeated)
-    post_reply (exchange, delay_us + between (world, 1, 100000), reply);
+    post_reply (exchange, delay_us + random_between (world, 1, 100000), reply);
 }
 
 void
@@ -169,12 +173,12 @@
   const struct jl_effect_forward *forward = &exchange->forwarded;
   uint32_t kind = exchange->sending->request->kind;
   struct jl_event_call event = { .kind = kind_index (node, kind),
-                                 .config_version = version_of (node),
+                                 .config_version = config_version_of (node),
                                  .forwarded = true,
                                  .attempt = forward->attempt,
                                  .key_type = JL_KEY_TICKET,
                                  .ticket = forward->ticket,
-                                 .digest = exchange->sending->path,
+                                 .digest = exchange->sending->path_hash,
                                  .budget_us = forward->budget_us,
                                  .priority = forward->priority,
                                  .tokens = forward->tokens,
@@ -196,7 +200,7 @@
   event.work.work = exchange->remote;
   event.work.attempt = send->attempt;
   event.work.kind = kind_index (node, exchange->sending->request->kind);
-  event.work.config_version = version_of (node);
+  event.work.config_version = config_version_of (node);
   event.work.priority = send->priority;
   event.work.invested_us = send->invested_us;
   event.work.budget_us = send->budget_us;
@@ -211,27 +215,30 @@
 {
   struct exchange *exchange = argument;
 
-  if (exchange->open && is_cut (world, exchange->from, node))
+  if (exchange->open && is_partitioned (world, exchange->from, node))
     return;
-  exchange->to_life = node->life;
-  /* Even when its sender has closed it; an edge does not see that at once. */
+  exchange->to_generation = node->generation;
+  /*
+   * The request arrives even if the sender has closed the exchange, because a
+   * daemon doesn't notice a closed connection at once.
+   */
   if (exchange->forward)
     arrive_forward (node, exchange);
   else
     arrive_work (node, exchange);
 }
 
-/* The connection breaks; some requests still arrive, at once or later. */
+/* Breaks the connection; some requests still arrive, soon or much later. */
 static void
 break_request (struct world *world, struct exchange *exchange)
 {
-  end_exchange (exchange, between (world, 1, 50000), JL_SEND_BROKEN);
-  if (chance (world, 300))
-    post_to (exchange->to, exchange->to_life, between (world, 1, 100000),
-             arrive, exchange);
-  else if (chance (world, 200))
-    post_to (exchange->to, exchange->to_life, between (world, 1, 5000000),
-             arrive, exchange);
+  end_exchange (exchange, random_between (world, 1, 50000), JL_SEND_BROKEN);
+  if (random_chance (world, 300))
+    schedule_on_node (exchange->to, exchange->to_generation,
+                      random_between (world, 1, 100000), arrive, exchange);
+  else if (random_chance (world, 200))
+    schedule_on_node (exchange->to, exchange->to_generation,
+                      random_between (world, 1, 5000000), arrive, exchange);
 }
 
 static void
@@ -245,28 +252,31 @@
       = g_hash_table_lookup (node->calls, JL_HASH_KEY (call_of (exchange)));
 
   exchange->from = node;
-  exchange->from_life = node->life;
+  exchange->from_generation = node->generation;
   exchange->to = node_at (world, peer);
   exchange->sending = call->sending;
   exchange->open = true;
-  call->out = exchange;
+  call->last_exchange = exchange;
   g_ptr_array_add (world->exchanges, exchange);
   if (!exchange->forward)
     observe_send (node, exchange);
   end_exchange (exchange, budget_us, JL_SEND_TIMEOUT);
   if (exchange->to == NULL || exchange->to->core == NULL)
     {
-      end_exchange (exchange, between (world, 500, 5000), JL_SEND_NOT_SENT);
+      end_exchange (exchange, random_between (world, 500, 5000),
+                    JL_SEND_NOT_SENT);
       return;
     }
-  exchange->to_life = exchange->to->life;
-  if (is_cut (world, node, exchange->to))
-    end_exchange (exchange, between (world, 20000, 300000), JL_SEND_NOT_SENT);
+  exchange->to_generation = exchange->to->generation;
+  if (is_partitioned (world, node, exchange->to))
+    end_exchange (exchange, random_between (world, 20000, 300000),
+                  JL_SEND_NOT_SENT);
   else if (exchange->to != node && is_lost (world))
     break_request (world, exchange);
   else
-    post_to (exchange->to, exchange->to_life,
-             exchange->to == node ? 1 : travel (world), arrive, exchange);
+    schedule_on_node (exchange->to, exchange->to_generation,
+                      exchange->to == node ? 1 : network_delay_us (world),
+                      arrive, exchange);
 }
 
 static void
@@ -274,7 +284,7 @@
 {
   struct edge_call *call
       = g_hash_table_lookup (node->calls, JL_HASH_KEY (stop->call));
-  struct exchange *exchange = call == NULL ? NULL : call->out;
+  struct exchange *exchange = call == NULL ? NULL : call->last_exchange;
 
   if (exchange == NULL
       || !jl_attempt_id_equal (attempt_of (exchange), stop->attempt))
@@ -295,11 +305,14 @@
 
       if (!exchange->open)
         continue;
-      if (exchange->from == node && exchange->from_life == node->life)
+      if (exchange->from == node
+          && exchange->from_generation == node->generation)
         close_exchange (exchange);
-      else if (exchange->to == node && exchange->to_life == node->life
-               && !is_cut (world, node, exchange->from))
-        end_exchange (exchange, between (world, 200, 20000), JL_SEND_BROKEN);
+      else if (exchange->to == node
+               && exchange->to_generation == node->generation
+               && !is_partitioned (world, node, exchange->from))
+        end_exchange (exchange, random_between (world, 200, 20000),
+                      JL_SEND_BROKEN);
     }
 }
 
@@ -322,7 +335,7 @@
 
   if (call == NULL)
     {
-      fail (node->world, "a call is answered twice");
+      report_violation (node->world, "a call is answered twice");
       g_free (key);
       return;
     }
@@ -356,7 +369,7 @@
 
   if (work == NULL)
     {
-      fail (node->world, "a work item is finished twice");
+      report_violation (node->world, "a work item is finished twice");
       return;
     }
   observe_finish (node, work, effect);
@@ -371,27 +384,28 @@
   g_hash_table_remove (node->works, JL_HASH_KEY (effect->work));
 }
 
-/* Inserts if absent; the answer may be lost after the write took effect. */
+/* Inserts if absent; the response may be lost after the write took effect. */
 static void
 claim (struct node *node, const struct jl_effect_claim *effect)
 {
   struct world *world = node->world;
-  bool away = world->outage_until_us > world->now_us;
+  bool outage = world->outage_until_us > world->now_us;
   gpointer key = JL_HASH_KEY (effect->key_hash);
   struct jl_event event = { .type = JL_EVENT_CLAIM_RESULT };
   struct jl_ticket *owner = g_hash_table_lookup (world->claims, key);
 
   event.claim_result.call = effect->call;
-  if (owner == NULL && (!away || chance (world, 200)))
+  if (owner == NULL && (!outage || random_chance (world, 200)))
     {
       owner = g_memdup2 (&effect->ticket, sizeof effect->ticket);
       g_hash_table_insert (world->claims, key, owner);
     }
-  event.claim_result.known = !away && !chance (world, 30);
+  event.claim_result.known = !outage && !random_chance (world, 30);
   if (event.claim_result.known)
     event.claim_result.owner_ticket = *owner;
-  post_event (node, node->life, between (world, 2000, away ? 400000 : 12000),
-              &event);
+  schedule_event (node, node->generation,
+                  random_between (world, 2000, outage ? 400000 : 12000),
+                  &event);
 }
 
 static void
@@ -402,11 +416,11 @@
   struct jl_event event = { .type = JL_EVENT_MESSAGE };
 
   event.message = &effect->message;
-  if (to == NULL || is_cut (world, node, to) || is_lost (world))
+  if (to == NULL || is_partitioned (world, node, to) || is_lost (world))
     return;
-  post_event (to, ANY_LIFE, travel (world), &event);
-  if (chance (world, 20))
-    post_event (to, ANY_LIFE, travel (world), &event);
+  schedule_event (to, ANY_GENERATION, network_delay_us (world), &event);
+  if (random_chance (world, 20))
+    schedule_event (to, ANY_GENERATION, network_delay_us (world), &event);
 }
 
 static void
@@ -427,7 +441,7 @@
 }
 
 void
-carry_out (struct node *node, const struct jl_effect *effect)
+execute_effect (struct node *node, const struct jl_effect *effect)
 {
   struct edge_work *work;
 
--- a/tests/random/kinds.c
+++ b/tests/random/kinds.c
@@ -1,9 +1,9 @@
 /**
- * DOC: Kinds of request in the random runs.
+ * DOC: Request kinds and configurations of the random runs.
  *
  * Service S has the kinds get-S, which is idempotent, and put-S, which is not;
- * both call those of service S + 1. The order of kinds and services in the
- * document differs from version to version.
+ * both call kinds of service S + 1. The order of kinds and services in the
+ * document differs between versions.
  */
 
 #include <stdio.h>
@@ -46,7 +46,7 @@
 }
 
 uint64_t
-version_of (const struct node *node)
+config_version_of (const struct node *node)
 {
   return node->core->config == NULL ? 0 : node->core->config->version;
 }
--- a/tests/random/main.c
+++ b/tests/random/main.c
@@ -95,28 +95,28 @@
 
 static sigjmp_buf broken_invariant;
 
-/* JL_INVARIANT ends the process; a run that meets one has failed. */
+/* Returns to run_plan(); a violated JL_INVARIANT raises the signal. */
 static void
 catch_trap (int signal G_GNUC_UNUSED)
 {
   siglongjmp (broken_invariant, 1);
 }
 
-/* When the last run failed. */
+/* Virtual time at which the last run ended. */
 static uint64_t failed_us;
 
 /* Return: the kind of failure, NULL if there was none. */
 static const char *
 run_plan (const struct plan *plan, bool trace, bool print)
 {
-  /* A static one outlives a jump out of the reducer. */
+  /* Static: a changed local variable is indeterminate after siglongjmp(). */
   static struct world *world;
   const char *kind;
   const char *failure;
 
   if (sigsetjmp (broken_invariant, 1) != 0)
     {
-      /* What the world has allocated is lost. */
+      /* The memory of the interrupted world is leaked. */
       if (print)
         g_print ("seed %" PRIu64 " FAILED: an invariant of the reducer\n",
                  plan->seed);
@@ -138,6 +138,7 @@
   return kind;
 }
 
+/* Whether the plan fails in the same way with these inputs. */
 static bool
 still_fails (struct plan *plan, GArray *inputs, const char *kind)
 {
@@ -150,9 +151,9 @@
   return g_strcmp0 (failure, kind) == 0;
 }
 
-/* Drops the inputs after the failure. */
+/* Removes the inputs after the failure, if the run still fails without them. */
 static void
-drop_later (struct plan *plan, const char *kind)
+remove_inputs_after_failure (struct plan *plan, const char *kind)
 {
   GArray *fewer = g_array_copy (plan->inputs);
 
@@ -169,9 +170,9 @@
   g_array_free (fewer, TRUE);
 }
 
-/* Drops runs of inputs, first long then short ones, while it still fails. */
+/* Removes ranges of inputs, long ones first, as long as the run still fails. */
 static void
-drop_runs (struct plan *plan, const char *kind)
+remove_ranges (struct plan *plan, const char *kind)
 {
   for (uint32_t size = plan->inputs->len / 2; size > 0; size /= 2)
     for (uint32_t at = 0; at + size <= plan->inputs->len;)
@@ -195,11 +196,11 @@
 {
   uint32_t before;
 
-  drop_later (plan, kind);
+  remove_inputs_after_failure (plan, kind);
   do
     {
       before = plan->inputs->len;
-      drop_runs (plan, kind);
+      remove_ranges (plan, kind);
     }
   while (plan->inputs->len < before);
 }
--- a/tests/random/observer.c
+++ b/tests/random/observer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What must hold over all daemons, checked at each step.
+ * DOC: Checks the invariants that hold across all daemons, at each step.
  */
 
 #include <stdarg.h>
@@ -9,7 +9,7 @@
 #include "world.h"
 
 void
-fail (struct world *world, const char *format, ...)
+report_violation (struct world *world, const char *format, ...)
 {
   va_list arguments;
 
@@ -21,7 +21,7 @@
   va_end (arguments);
 }
 
-/* No more sendings than calls in the tree and its retry tokens. */
+/* Checks that the retries in a call tree don't exceed its retry tokens. */
 static void
 check_retries (struct world *world, struct sending *sending)
 {
@@ -35,8 +35,9 @@
   retries = kind_idempotent (root->request->kind) ? root->retries
                                                   : root->request->retries;
   if (retries > RETRY_TOKENS)
-    fail (world, "request %" G_GINT64_MODIFIER "x: %u retries in its tree",
-          root->request->id, retries);
+    report_violation (world,
+                      "request %" G_GINT64_MODIFIER "x: %u retries in its tree",
+                      root->request->id, retries);
 }
 
 static void
@@ -48,13 +49,17 @@
       = jl_members_find (node->core, exchange->send.member);
 
   if (member == NULL || member->info.state != JL_MEMBER_ALIVE)
-    fail (world, "node %u sends to a member that is not alive", node->index);
-  if (to->gone_us != 0 && to->gone_us + GONE_BOUND_US < world->now_us
-      && node->blurred_until_us < to->gone_us
-      && world->calm_from_us < to->gone_us)
-    fail (world, "node %u sends to node %u, %u ms after its target was gone",
-          node->index, to->index,
-          (uint32_t)((world->now_us - to->gone_us) / JL_USEC_PER_MSEC));
+    report_violation (world, "node %u sends to a member that is not alive",
+                      node->index);
+  if (to->unavailable_since_us != 0
+      && to->unavailable_since_us + UNAVAILABLE_MAX_US < world->now_us
+      && node->stale_until_us < to->unavailable_since_us
+      && world->stable_from_us < to->unavailable_since_us)
+    report_violation (
+        world, "node %u sends to node %u, %u ms after its target was gone",
+        node->index, to->index,
+        (uint32_t)((world->now_us - to->unavailable_since_us)
+                   / JL_USEC_PER_MSEC));
 }
 
 void
@@ -63,7 +68,7 @@
   check_retries (node->world, exchange->sending);
   check_placement (node, exchange);
   if (exchange->send.tokens > RETRY_TOKENS)
-    fail (node->world, "%u tokens are lent", exchange->send.tokens);
+    report_violation (node->world, "%u tokens are lent", exchange->send.tokens);
 }
 
 void
@@ -74,32 +79,36 @@
   struct request *request = sending->request;
 
   if (request->runs > 0 && !kind_idempotent (request->kind))
-    fail (world, "request %" G_GINT64_MODIFIER "x runs again", request->id);
-  if (sending->told_not_run || sending->serial <= request->not_run_serial)
-    fail (world, "request %" G_GINT64_MODIFIER "x runs after \"not run\"",
-          request->id);
+    report_violation (world, "request %" G_GINT64_MODIFIER "x runs again",
+                      request->id);
+  if (sending->reported_not_run || sending->serial <= request->not_run_serial)
+    report_violation (world,
+                      "request %" G_GINT64_MODIFIER "x runs after \"not run\"",
+                      request->id);
   request->runs++;
   sending->runs++;
 }
 
 void
-observe_told (struct sending *sending,
-              enum jl_outcome outcome,
-              enum jl_outcome alone)
+observe_outcome (struct sending *sending,
+                 enum jl_outcome outcome,
+                 enum jl_outcome sending_outcome)
 {
   struct request *request = sending->request;
   struct world *world = sending->root->caller->entry->world;
 
   if (outcome == JL_OUTCOME_NOT_RUN && request->runs > 0)
-    fail (world, "request %" G_GINT64_MODIFIER "x ran and is \"not run\"",
-          request->id);
-  if (alone == JL_OUTCOME_NOT_RUN && sending->runs > 0)
-    fail (world, "a sending of %" G_GINT64_MODIFIER "x ran and is \"not run\"",
-          request->id);
+    report_violation (world,
+                      "request %" G_GINT64_MODIFIER "x ran and is \"not run\"",
+                      request->id);
+  if (sending_outcome == JL_OUTCOME_NOT_RUN && sending->runs > 0)
+    report_violation (
+        world, "a sending of %" G_GINT64_MODIFIER "x ran and is \"not run\"",
+        request->id);
   if (outcome == JL_OUTCOME_NOT_RUN)
     request->not_run_serial = world->next_serial;
-  if (alone == JL_OUTCOME_NOT_RUN)
-    sending->told_not_run = true;
+  if (sending_outcome == JL_OUTCOME_NOT_RUN)
+    sending->reported_not_run = true;
   world->done += outcome == JL_OUTCOME_DONE;
   world->not_run += outcome == JL_OUTCOME_NOT_RUN;
   world->unknown += outcome == JL_OUTCOME_UNKNOWN;
@@ -115,24 +124,26 @@
 
   if (call->exchange != NULL
       && answer->tokens > call->exchange->forwarded.tokens)
-    fail (world, "a forwarded call returns more tokens than it got");
+    report_violation (world,
+                      "a forwarded call returns more tokens than it got");
   if (call->sending->parent == NULL && answer->tokens > RETRY_TOKENS)
-    fail (world, "a call ends with more tokens than it had");
+    report_violation (world, "a call ends with more tokens than it had");
   if (answer->reason == JL_REASON_KEY_REUSED)
-    fail (world, "two requests have one ticket");
+    report_violation (world, "two requests have one ticket");
   if (answer->outcome != JL_OUTCOME_DONE)
     return;
   if (body == NULL)
-    fail (world, "an answer without a body");
+    report_violation (world, "an answer without a body");
   else if (body->sending->request != call->sending->request)
-    fail (world, "the answer of another request");
-  else if (!answer->stored && call->out != NULL && !call->out->forward
+    report_violation (world, "the answer of another request");
+  else if (!answer->stored && call->last_exchange != NULL
+           && !call->last_exchange->forward
            && !jl_attempt_id_equal (call->body_attempt,
-                                    call->out->send.attempt))
-    fail (world, "the answer of another sending");
+                                    call->last_exchange->send.attempt))
+    report_violation (world, "the answer of another sending");
 }
 
-/* While an item is refused for overload, nothing less important waits. */
+/* Checks that an overload refusal didn't prefer a less important item. */
 static void
 check_importance (struct node *node, uint32_t priority)
 {
@@ -145,8 +156,8 @@
       const struct jl_work *work = value;
 
       if (work->state == JL_WORK_WAITING && work->priority > priority)
-        fail (node->world, "node %u refuses %u while %u waits", node->index,
-              priority, work->priority);
+        report_violation (node->world, "node %u refuses %u while %u waits",
+                          node->index, priority, work->priority);
     }
 }
 
@@ -156,9 +167,11 @@
                 const struct jl_effect_finish *finish)
 {
   if (finish->tokens > work->exchange->send.tokens)
-    fail (node->world, "a work item returns more tokens than it got");
+    report_violation (node->world,
+                      "a work item returns more tokens than it got");
   if (finish->outcome == JL_OUTCOME_NOT_RUN && work->run != NULL)
-    fail (node->world, "a work item that ran is finished as not run");
+    report_violation (node->world,
+                      "a work item that ran is finished as not run");
   if (finish->reason == JL_REASON_OVERLOAD)
     check_importance (node, work->exchange->send.priority);
 }
@@ -173,11 +186,12 @@
   if (config == NULL)
     return;
   if (config->version < node->config_version)
-    fail (world, "node %u reverts to an older configuration", node->index);
+    report_violation (world, "node %u reverts to an older configuration",
+                      node->index);
   node->config_version = config->version;
   known = g_ptr_array_index (world->configs, (uint32_t)config->version - 1);
   if (known->digest != config->digest)
-    fail (world, "one version has two contents");
+    report_violation (world, "one version has two contents");
 }
 
 void
@@ -187,7 +201,8 @@
 
   if (g_hash_table_size (node->works) > 0
       || g_hash_table_size (node->calls) > 0)
-    fail (world, "node %u exits with requests in progress", node->index);
+    report_violation (world, "node %u exits with requests in progress",
+                      node->index);
 }
 
 static void
@@ -206,7 +221,8 @@
       if (member == NULL
           || !jl_identity_equal (member->info.identity, other->core->identity)
           || member->info.state != JL_MEMBER_ALIVE || !member->info.target_up)
-        fail (world, "node %u does not see node %u at the end", node->index, i);
+        report_violation (world, "node %u does not see node %u at the end",
+                          node->index, i);
     }
 }
 
@@ -220,12 +236,13 @@
       if (node->core == NULL)
         continue;
       if (g_hash_table_size (node->calls) > 0)
-        fail (world, "node %u has a call without an answer", i);
+        report_violation (world, "node %u has a call without an answer", i);
       if (g_hash_table_size (node->works) > 0)
-        fail (world, "node %u has a work item without an end", i);
+        report_violation (world, "node %u has a work item without an end", i);
       if (node->core->config == NULL
           || node->core->config->version != world->configs->len)
-        fail (world, "node %u has not got the last configuration", i);
+        report_violation (world, "node %u has not got the last configuration",
+                          i);
       check_membership (node);
     }
 }
--- a/tests/random/plan.c
+++ b/tests/random/plan.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Inputs of a run: drawn from a seed, or read from a script.
+ * DOC: Plans of simulation runs, drawn from a seed or read from a script.
  */
 
 #include <inttypes.h>
@@ -13,7 +13,7 @@
         "outage",       "loss",   "target-slow", "target-crash",
         "target-leave", "drain",  "apply" };
 
-/* One fault in so many milliseconds, on average. */
+/* Mean time between two faults, and between two requests. */
 #define FAULT_INTERVAL_MS 900
 #define REQUEST_INTERVAL_MS 25
 
@@ -32,10 +32,10 @@
         input.argument = (uint32_t)g_rand_int_range (
             random, 0, 2 * (int)plan->service_count);
       input.key = (uint32_t)g_rand_int_range (random, 0, 3);
-      /* A duration marks a request that crashes the targets that run it. */
+      /* A duration above 0 marks a request that crashes its targets. */
       input.duration_us = g_rand_int_range (random, 0, 400) == 0 ? 1 : 0;
     }
-  if (type == INPUT_CUT)
+  if (type == INPUT_PARTITION)
     {
       input.node
           = (uint32_t)g_rand_int_range (random, 0, (int)plan->zone_count);
--- a/tests/random/target.c
+++ b/tests/random/target.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Targets: runs that take a while and make calls of their own.
+ * DOC: Fake targets, whose runs take time and make child calls.
  */
 
 #include "core/core-impl.h"
@@ -8,17 +8,17 @@
 #include <xxhash.h>
 
 static void
-report (struct run *run, uint64_t delay_us, enum jl_run_result result)
+report_result (struct run *run, uint64_t delay_us, enum jl_run_result result)
 {
   struct jl_event event = { .type = JL_EVENT_WORK_RESULT };
 
-  if (run->over)
+  if (run->ended)
     return;
-  run->over = true;
+  run->ended = true;
   event.work_result.work = run->work;
   event.work_result.result = result;
   event.work_result.status = 200;
-  post_event (run->node, run->life, delay_us, &event);
+  schedule_event (run->node, run->generation, delay_us, &event);
 }
 
 static void
@@ -26,14 +26,14 @@
              struct node *node G_GNUC_UNUSED,
              void *argument)
 {
-  report (argument, 0, JL_RUN_TIMEOUT);
+  report_result (argument, 0, JL_RUN_TIMEOUT);
 }
 
 static uint64_t
 service_time (struct run *run)
 {
   struct world *world = run->node->world;
-  uint64_t time_us = between (world, 500, 15000);
+  uint64_t time_us = random_between (world, 500, 15000);
 
   if (run->node->target_slow_until_us > world->now_us)
     time_us *= 20;
@@ -48,45 +48,45 @@
   uint32_t kind;
   struct jl_event_call event = { .parent = run->work };
   struct sending *sending;
-  uint64_t id[3] = { run->sending->path };
+  uint64_t id[3] = { run->sending->path_hash };
   uint64_t request_id;
 
-  if (run->over)
+  if (run->ended)
     return;
   kind_children (world, run->sending->request->kind, children);
   kind = children[run->child++];
   event.kind = kind_index (node, kind);
-  event.config_version = version_of (node);
+  event.config_version = config_version_of (node);
   event.ordinal = run->ordinals[kind]++;
   id[1] = kind;
   id[2] = event.ordinal;
   event.digest = XXH3_64bits (id, sizeof id);
   request_id = event.digest;
-  /* An idempotent call has no key: each is a request of its own. */
+  /* An idempotent call has no key, so each one is a separate request. */
   id[2] = world->next_serial;
   if (kind_idempotent (kind))
     request_id = XXH3_64bits (id, sizeof id);
   sending = new_sending (world, find_request (world, request_id, kind));
-  sending->path = event.digest;
+  sending->path_hash = event.digest;
   sending->parent = run;
   sending->root = run->sending->root;
   call_node (node, sending, NULL, &event);
 }
 
-/* Makes the next call, or ends with an answer. */
+/* Makes the next child call, or answers the request after the last one. */
 static void
-go_on (struct world *world, struct node *node, void *argument)
+continue_run (struct world *world, struct node *node, void *argument)
 {
   struct run *run = argument;
   uint32_t children[CHILD_MAX];
   uint32_t count = kind_children (world, run->sending->request->kind, children);
 
-  if (run->over)
+  if (run->ended)
     return;
   if (run->child < count)
     make_child_call (world, node, run);
   else
-    report (run, 100, JL_RUN_ANSWERED);
+    report_result (run, 100, JL_RUN_ANSWERED);
 }
 
 void
@@ -94,11 +94,12 @@
                 struct sending *sending,
                 const struct jl_effect_answer *answer)
 {
-  if (run->over)
+  if (run->ended)
     return;
   sending->open = false;
-  observe_told (sending, answer->outcome, answer->sending);
-  post_to (run->node, run->life, service_time (run) / 4, go_on, run);
+  observe_outcome (sending, answer->outcome, answer->sending);
+  schedule_on_node (run->node, run->generation, service_time (run) / 4,
+                    continue_run, run);
 }
 
 static void
@@ -125,29 +126,30 @@
   g_ptr_array_add (world->runs, run);
   run->sending = work->exchange->sending;
   run->node = node;
-  run->life = node->life;
-  run->target_life = node->target_life;
+  run->generation = node->generation;
+  run->target_generation = node->target_generation;
   run->work = effect->work;
-  if (!node->target_up || chance (world, 3))
+  if (!node->target_up || random_chance (world, 3))
     {
-      report (run, between (world, 100, 2000), JL_RUN_NOT_SENT);
+      report_result (run, random_between (world, 100, 2000), JL_RUN_NOT_SENT);
       return;
     }
   work->run = run;
   observe_run (node, work);
   if (run->sending->caller != NULL && run->sending->caller->poison)
-    post_to (node, node->life, 3000, crash_by_poison, NULL);
+    schedule_on_node (node, node->generation, 3000, crash_by_poison, NULL);
   time_us = service_time (run);
-  if (chance (world, 5))
-    report (run, time_us, JL_RUN_BROKEN);
-  post_to (node, node->life, time_us, go_on, run);
-  post_to (node, node->life, effect->budget_us, run_timeout, run);
+  if (random_chance (world, 5))
+    report_result (run, time_us, JL_RUN_BROKEN);
+  schedule_on_node (node, node->generation, time_us, continue_run, run);
+  schedule_on_node (node, node->generation, effect->budget_us, run_timeout,
+                    run);
 }
 
 void
 abort_run (struct node *node G_GNUC_UNUSED, struct run *run)
 {
-  report (run, 500, JL_RUN_ABORTED);
+  report_result (run, 500, JL_RUN_ABORTED);
 }
 
 void
@@ -160,7 +162,8 @@
     {
       struct run *run = g_ptr_array_index (world->runs, i);
 
-      if (run->node == node && run->target_life == node->target_life)
-        report (run, between (world, 100, 20000), JL_RUN_BROKEN);
+      if (run->node == node
+          && run->target_generation == node->target_generation)
+        report_result (run, random_between (world, 100, 20000), JL_RUN_BROKEN);
     }
 }
--- a/tests/random/world.c
+++ b/tests/random/world.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The queue of what is on its way, and the steps of the reducers.
+ * DOC: The event queue of the simulation, and the steps of the reducers.
  */
 
 #include "world.h"
@@ -11,17 +11,20 @@
 #include "../support/print.h"
 
 /**
- * struct item - something on its way
- * @node: where it happens, NULL for the world
- * @life: it is lost when the daemon has another life by then
- * @random: stream of what caused it
+ * struct item - a scheduled function call in the event queue
+ * @due_us: virtual time of the call
+ * @order: order of items that are due at the same time
+ * @node: the daemon that the call applies to, NULL for none
+ * @generation: number of the daemon's start that the item belongs to, or
+ *              ANY_GENERATION; it is dropped if another start is current
+ * @random: random number stream of the item that scheduled this one
  */
 struct item
 {
   uint64_t due_us;
   uint64_t order;
   struct node *node;
-  uint64_t life;
+  uint64_t generation;
   GRand *random;
   ITEM_FN (fire);
   void *argument;
@@ -38,33 +41,36 @@
 }
 
 uint32_t
-pick (struct world *world, uint32_t bound)
+random_below (struct world *world, uint32_t bound)
 {
   return g_rand_int (world->random) % bound;
 }
 
 bool
-chance (struct world *world, uint32_t permille)
+random_chance (struct world *world, uint32_t permille)
 {
-  return pick (world, 1000) < permille;
+  return random_below (world, 1000) < permille;
 }
 
 uint64_t
-between (struct world *world, uint64_t from, uint64_t to)
+random_between (struct world *world, uint64_t from, uint64_t to)
 {
   return from + g_rand_int (world->random) % (to - from + 1);
 }
 
 bool
-is_up (const struct node *node, uint64_t life)
+is_up (const struct node *node, uint64_t generation)
 {
-  return node->core != NULL && (life == ANY_LIFE || node->life == life);
+  return node->core != NULL
+         && (generation == ANY_GENERATION || node->generation == generation);
 }
 
 bool
-is_cut (const struct world *world, const struct node *a, const struct node *b)
+is_partitioned (const struct world *world,
+                const struct node *a,
+                const struct node *b)
 {
-  return world->cut_until_us[a->zone][b->zone] > world->now_us;
+  return world->partitioned_until_us[a->zone][b->zone] > world->now_us;
 }
 
 static int
@@ -81,7 +87,7 @@
 static void
 insert_item (struct world *world,
              struct node *node,
-             uint64_t life,
+             uint64_t generation,
              uint64_t delay_us,
              ITEM_FN (fire),
              void *argument)
@@ -91,7 +97,7 @@
   item->due_us = world->now_us + delay_us;
   item->order = world->next_order++;
   item->node = node;
-  item->life = life;
+  item->generation = generation;
   item->random = world->random;
   item->fire = fire;
   item->argument = argument;
@@ -99,26 +105,30 @@
 }
 
 void
-post (struct world *world, uint64_t delay_us, ITEM_FN (fire), void *argument)
+schedule (struct world *world,
+          uint64_t delay_us,
+          ITEM_FN (fire),
+          void *argument)
 {
-  insert_item (world, NULL, ANY_LIFE, delay_us, fire, argument);
+  insert_item (world, NULL, ANY_GENERATION, delay_us, fire, argument);
 }
 
 void
-post_to (struct node *node,
-         uint64_t life,
-         uint64_t delay_us,
-         ITEM_FN (fire),
-         void *argument)
+schedule_on_node (struct node *node,
+                  uint64_t generation,
+                  uint64_t delay_us,
+                  ITEM_FN (fire),
+                  void *argument)
 {
-  if (life == ANY_LIFE || is_up (node, life))
-    insert_item (node->world, node, life, delay_us, fire, argument);
+  if (generation == ANY_GENERATION || is_up (node, generation))
+    insert_item (node->world, node, generation, delay_us, fire, argument);
 }
 
 /**
- * struct letter - an event on its way
+ * struct queued_event - an event that is scheduled for a reducer
+ * @message: storage for the message that the event refers to
  */
-struct letter
+struct queued_event
 {
   struct jl_event event;
   struct jl_message message;
@@ -127,28 +137,28 @@
 static void
 deliver (struct world *world G_GNUC_UNUSED, struct node *node, void *argument)
 {
-  struct letter *letter = argument;
+  struct queued_event *queued_event = argument;
 
-  if (letter->event.type == JL_EVENT_MESSAGE)
-    letter->event.message = &letter->message;
-  step (node, &letter->event);
+  if (queued_event->event.type == JL_EVENT_MESSAGE)
+    queued_event->event.message = &queued_event->message;
+  step (node, &queued_event->event);
 }
 
 void
-post_event (struct node *node,
-            uint64_t life,
-            uint64_t delay_us,
-            const struct jl_event *event)
+schedule_event (struct node *node,
+                uint64_t generation,
+                uint64_t delay_us,
+                const struct jl_event *event)
 {
-  struct letter *letter;
+  struct queued_event *queued_event;
 
-  if (life != ANY_LIFE && !is_up (node, life))
+  if (generation != ANY_GENERATION && !is_up (node, generation))
     return;
-  letter = g_new0 (struct letter, 1);
-  letter->event = *event;
+  queued_event = g_new0 (struct queued_event, 1);
+  queued_event->event = *event;
   if (event->type == JL_EVENT_MESSAGE)
-    letter->message = *event->message;
-  post_to (node, life, delay_us, deliver, letter);
+    queued_event->message = *event->message;
+  schedule_on_node (node, generation, delay_us, deliver, queued_event);
 }
 
 static void
@@ -169,9 +179,9 @@
     step (node, &event);
 }
 
-/* Sees to it that a tick comes when the next timer is due. */
+/* Schedules a tick for the next timer of the reducer. */
 static void
-plan_tick (struct node *node)
+schedule_tick (struct node *node)
 {
   uint64_t next_us = jl_core_next_timer (node->core);
   uint64_t now_us = node->world->now_us + node->offset_us;
@@ -179,12 +189,12 @@
   if (next_us == UINT64_MAX || (node->tick_us != 0 && node->tick_us <= next_us))
     return;
   node->tick_us = next_us;
-  post_to (node, node->life, next_us > now_us ? next_us - now_us : 0, tick,
-           NULL);
+  schedule_on_node (node, node->generation,
+                    next_us > now_us ? next_us - now_us : 0, tick, NULL);
 }
 
 static void
-note_line (struct world *world)
+record_line (struct world *world)
 {
   world->digest = XXH3_64bits_withSeed (world->line->str, world->line->len,
                                         world->digest);
@@ -193,7 +203,7 @@
 }
 
 static void
-note_event (struct node *node, const struct jl_event *event)
+record_event (struct node *node, const struct jl_event *event)
 {
   struct world *world = node->world;
 
@@ -201,11 +211,11 @@
   jl_print_time (world->line, world->now_us);
   g_string_append_printf (world->line, "%u < ", node->index);
   jl_print_event (world->line, NULL, event);
-  note_line (world);
+  record_line (world);
 }
 
 static void
-note_effect (struct node *node, const struct jl_effect *effect)
+record_effect (struct node *node, const struct jl_effect *effect)
 {
   struct world *world = node->world;
 
@@ -213,7 +223,7 @@
   jl_print_time (world->line, world->now_us);
   g_string_append_printf (world->line, "%u > ", node->index);
   jl_print_effect (world->line, NULL, effect);
-  note_line (world);
+  record_line (world);
 }
 
 void
@@ -221,28 +231,28 @@
 {
   struct world *world = node->world;
   struct jl_effects *effects = world->effects;
-  uint64_t life = node->life;
+  uint64_t generation = node->generation;
 
   event->now_us = world->now_us + node->offset_us;
   world->steps++;
-  note_event (node, event);
+  record_event (node, event);
   jl_effects_clear (effects);
   jl_core_step (node->core, event, effects);
   for (size_t i = 0; i < jl_effects_count (effects); i++)
     {
-      note_effect (node, jl_effects_get (effects, i));
-      if (is_up (node, life))
-        carry_out (node, jl_effects_get (effects, i));
+      record_effect (node, jl_effects_get (effects, i));
+      if (is_up (node, generation))
+        execute_effect (node, jl_effects_get (effects, i));
     }
-  if (!is_up (node, life))
+  if (!is_up (node, generation))
     return;
   observe_step (node);
-  plan_tick (node);
+  schedule_tick (node);
 }
 
-/* Handles in any order what came in while the daemon was frozen. */
+/* Processes in random order the items that became due during a freeze. */
 static void
-thaw (struct world *world, struct node *node)
+replay_backlog (struct world *world, struct node *node)
 {
   GPtrArray *backlog = node->backlog;
 
@@ -250,11 +260,11 @@
   node->backlog = g_ptr_array_new ();
   while (backlog->len > 0)
     {
-      struct item *item
-          = g_ptr_array_remove_index (backlog, pick (world, backlog->len));
+      struct item *item = g_ptr_array_remove_index (
+          backlog, random_below (world, backlog->len));
 
       world->random = item->random;
-      if (is_up (node, item->life) && world->failure == NULL)
+      if (is_up (node, item->generation) && world->failure == NULL)
         item->fire (world, node, item->argument);
       free_item (item);
     }
@@ -269,7 +279,7 @@
   world->random = item->random;
   if (node == NULL)
     item->fire (world, NULL, item->argument);
-  else if (is_up (node, item->life))
+  else if (is_up (node, item->generation))
     {
       if (node->frozen_until_us > world->now_us)
         {
@@ -277,9 +287,9 @@
           return;
         }
       if (node->backlog->len > 0)
-        thaw (world, node);
+        replay_backlog (world, node);
       world->random = item->random;
-      if (is_up (node, item->life))
+      if (is_up (node, item->generation))
         item->fire (world, node, item->argument);
     }
   free_item (item);
@@ -288,7 +298,7 @@
 void
 world_run (struct world *world)
 {
-  uint64_t end_us = plan_end (world->plan) + QUIET_US;
+  uint64_t end_us = plan_end (world->plan) + QUIET_PERIOD_US;
 
   while (world->failure == NULL)
     {
@@ -329,7 +339,7 @@
   node->zone = index % world->plan->zone_count;
   node->backlog = g_ptr_array_new ();
   node->target_up = true;
-  node->target_life = 1;
+  node->target_generation = 1;
   start_node (node);
 }
 
@@ -369,7 +379,7 @@
     {
       struct input *input = &g_array_index (plan->inputs, struct input, i);
 
-      post (world, input->at_us, fire_input, input);
+      schedule (world, input->at_us, fire_input, input);
     }
   return world;
 }
--- a/tests/random/world.h
+++ b/tests/random/world.h
@@ -2,10 +2,12 @@
 #define JACKDAWLADDER_TESTS_WORLD_H
 
 /**
- * DOC: Several reducers over a fake of all that is around them.
+ * DOC: Simulation of several reducers with a fake network, platform, targets
+ * and callers.
  *
- * Time is virtual. Everything that is on its way is an item in one queue; a
- * run is a function of its inputs and of one seeded generator.
+ * Time is virtual. Every pending event is an item in one queue ordered by time.
+ * A simulation run depends only on its inputs and on the seed of the random
+ * numbers.
  */
 
 #include "jackdawladder/core.h"
@@ -14,23 +16,23 @@
 #define ZONE_COUNT_MAX 4
 #define DEPTH_MAX 5
 #define CHILD_MAX 4
-/* After the last input, faults are over and load has stopped. */
-#define QUIET_US (40 * JL_USEC_PER_SEC)
-/* No new work to a target that has been gone for longer. */
-#define GONE_BOUND_US (3 * JL_USEC_PER_SEC)
+/* Time without load or faults that a run continues after its last input. */
+#define QUIET_PERIOD_US (40 * JL_USEC_PER_SEC)
+/* A target that has been unavailable for longer must not be sent new work. */
+#define UNAVAILABLE_MAX_US (3 * JL_USEC_PER_SEC)
 
 struct world;
 struct node;
 
 /**
- * enum input_type - what comes from outside the system
+ * enum input_type - type of an external input: a request or a fault
  */
 enum input_type
 {
   INPUT_REQUEST,
   INPUT_FREEZE,
   INPUT_CRASH,
-  INPUT_CUT,
+  INPUT_PARTITION,
   INPUT_OUTAGE,
   INPUT_LOSS,
   INPUT_TARGET_SLOW,
@@ -42,12 +44,13 @@
 };
 
 /**
- * struct input - one input, from a seed or from a script
- * @at_us: virtual time
- * @node: daemon or target it is about; for INPUT_CUT the first zone
- * @argument: kind of a request; for INPUT_CUT the second zone
+ * struct input - one input, drawn from a seed or read from a script
+ * @at_us: virtual time of the input
+ * @node: daemon or target that is affected; for INPUT_PARTITION the first zone
+ * @argument: kind of a request; for INPUT_PARTITION the second zone
  * @key: enum jl_key_type of a request
- * @duration_us: how long a fault lasts
+ * @duration_us: duration of a fault; a request with a duration above 0 crashes
+ *               each target that runs it
  */
 struct input
 {
@@ -60,7 +63,10 @@
 };
 
 /**
- * struct plan - shape of a run and its inputs
+ * struct plan - topology, length and inputs of a simulation run
+ * @switched_off: bit mask of the mechanisms that the reducers leave out
+ * @length_us: virtual time during which load and faults occur
+ * @inputs: struct input, in order of time
  */
 struct plan
 {
@@ -73,17 +79,33 @@
   GArray *inputs;
 };
 
+/**
+ * plan_new - draws a plan from a seed
+ */
 struct plan *plan_new (uint64_t seed, uint64_t length_us);
+
+/**
+ * plan_load - reads a plan from a script; ends the process on a syntax error
+ */
 struct plan *plan_load (const char *path);
+
+/**
+ * plan_print - appends a plan in the format that plan_load() reads
+ */
 void plan_print (const struct plan *plan, GString *out);
 void plan_drop (struct plan *plan);
+
+/**
+ * plan_end - returns the virtual time at which the last input has ended
+ */
 uint64_t plan_end (const struct plan *plan);
 
 /**
- * struct request - what its maker takes for one request
- * @runs: how often it was started at a target
- * @not_run_serial: sendings up to this one were told "not run"
- * @retries: sendings between daemons beyond the first of each call
+ * struct request - a request, as its caller identifies it
+ * @runs: number of times that a target started to run it
+ * @not_run_serial: all sendings with a serial up to this one were reported as
+ *                  "not run"
+ * @retries: number of sends between daemons after the first send of each call
  */
 struct request
 {
@@ -96,54 +118,62 @@
 
 /**
  * struct sending - one call made by a caller or by a target
- * @serial: counts up over the world
- * @path: the same each time that a repeated parent makes this call
- * @root: the sending that its tree began with
- * @told_not_run: its maker was told that this sending did not run
+ * @serial: sequence number, unique in the world
+ * @path_hash: hash of the position in the call tree; a parent that runs again
+ *             makes the call with the same hash
+ * @root: the sending at the root of the call tree
+ * @open: whether the caller still waits for the answer
+ * @reported_not_run: whether the caller was told that this sending did not run
+ * @sends: number of sends between daemons for this call
+ * @retries: for a root, number of repeated sends in its call tree
  */
 struct sending
 {
   uint64_t serial;
-  uint64_t path;
+  uint64_t path_hash;
   struct request *request;
   struct sending *root;
   struct run *parent;
   struct caller *caller;
   bool open;
-  bool told_not_run;
+  bool reported_not_run;
   uint32_t runs;
   uint32_t sends;
   uint32_t retries;
 };
 
 /**
- * struct run - one run at a target
+ * struct run - one execution of a request at a target
+ * @work: number of the work item at the daemon
+ * @child: index of the next child call
+ * @ordinals: number of calls made so far, by kind of the child
+ * @ended: whether a result was reported to the daemon
  */
 struct run
 {
   struct sending *sending;
   struct node *node;
-  uint64_t life;
-  uint64_t target_life;
+  uint64_t generation;
+  uint64_t target_generation;
   uint64_t work;
   uint32_t child;
   uint32_t ordinals[2 * DEPTH_MAX];
-  bool over;
+  bool ended;
   bool aborted;
 };
 
 /**
  * struct exchange - one HTTP request between two daemons
- * @open: its sender still waits
- * @remote: number of the work or call at the receiver, 0 before it arrives
+ * @open: whether the sender still waits for the answer
+ * @remote: number of the work item or call at the receiver, 0 before it arrives
  */
 struct exchange
 {
   struct sending *sending;
   struct node *from;
   struct node *to;
-  uint64_t from_life;
-  uint64_t to_life;
+  uint64_t from_generation;
+  uint64_t to_generation;
   bool forward;
   bool open;
   uint64_t remote;
@@ -152,7 +182,11 @@
 };
 
 /**
- * struct caller - a caller and its one request
+ * struct caller - a caller that makes one request, possibly several times
+ * @poison: whether the request crashes each target that runs it
+ * @retries_left: number of times that the request may still be sent again
+ * @entry: the daemon that got the last sending
+ * @call: number of the call at @entry, 0 before it arrives
  */
 struct caller
 {
@@ -163,31 +197,32 @@
   uint64_t key_hash;
   uint32_t kind;
   bool poison;
-  uint32_t left;
+  uint32_t retries_left;
   struct node *entry;
-  uint64_t entry_life;
+  uint64_t entry_generation;
   uint64_t call;
 };
 
 /**
- * struct edge_call - a call at the edge of one daemon
- * @exchange: it came from another daemon; else from @sending's maker
- * @out: its last sending to another daemon
+ * struct edge_call - a call in the fake HTTP layer of one daemon
+ * @exchange: the exchange that forwarded the call from another daemon, NULL
+ *            for a call made directly by a caller or a target
+ * @last_exchange: the last exchange that sent this call to another daemon
  * @body: the run whose answer came with the last result
- * @body_attempt: the sending that it came with
+ * @body_attempt: the attempt whose result carried @body
  */
 struct edge_call
 {
   uint64_t number;
   struct sending *sending;
   struct exchange *exchange;
-  struct exchange *out;
+  struct exchange *last_exchange;
   struct run *body;
   struct jl_attempt_id body_attempt;
 };
 
 /**
- * struct edge_work - a work item at the edge of one daemon
+ * struct edge_work - a work item in the fake HTTP layer of one daemon
  */
 struct edge_work
 {
@@ -196,10 +231,19 @@
 };
 
 /**
- * struct node - one daemon, its target and what surrounds them
- * @life: counts its starts; 0 while it is down for good
- * @offset_us: its clock's lead over the virtual time
- * @gone_us: when its target stopped taking work; 0 while it takes work
+ * struct node - one daemon, its target and their fake environment
+ * @generation: number of times that the daemon was started
+ * @offset_us: how far the clock of the daemon is ahead of the virtual time
+ * @tick_us: earliest scheduled tick, by the clock of the daemon; 0 for none
+ * @stale_until_us: until then the daemon may act on an outdated view of other
+ *                  daemons
+ * @backlog: items that became due while the daemon was frozen
+ * @next_number: last number given to a call or a work item
+ * @stored: ticket, as text, to the run whose answer the daemon keeps
+ * @config_version: highest configuration version seen in force, 0 for none
+ * @target_generation: number of times that the target was started
+ * @unavailable_since_us: when the target stopped accepting work; 0 while it
+ *                        accepts work
  */
 struct node
 {
@@ -207,11 +251,11 @@
   uint32_t index;
   uint32_t zone;
   struct jl_core *core;
-  uint64_t life;
+  uint64_t generation;
   uint64_t offset_us;
   uint64_t tick_us;
   uint64_t frozen_until_us;
-  uint64_t blurred_until_us;
+  uint64_t stale_until_us;
   GPtrArray *backlog;
   uint64_t next_number;
   GHashTable *calls;
@@ -220,18 +264,28 @@
   uint64_t config_version;
   bool target_up;
   bool target_leaving;
-  uint64_t target_life;
+  uint64_t target_generation;
   uint64_t target_slow_until_us;
-  uint64_t gone_us;
+  uint64_t unavailable_since_us;
 };
 
 /**
- * struct world - one run
- * @random: the stream of random numbers of the item that happens now; each
- *          input and each life of a daemon has one, so that a run with fewer
- *          inputs differs in little else
- * @failure: what invariant was broken first, NULL while none was
- * @failure_kind: the same without its particulars
+ * struct world - state of a simulation run
+ * @random: random number stream of the item being processed; each input and
+ *          each start of a daemon has its own stream, so a run with fewer
+ *          inputs otherwise changes little
+ * @stable_from_us: from then on, past network faults no longer make the
+ *                membership view of any daemon outdated
+ * @claims: hash of an idempotency key to the ticket that owns it
+ * @configs: configurations by version, from 1
+ * @tickets: tickets that callers got and haven't used
+ * @owned: allocations that are freed with the world
+ * @digest: hash of all events and effects, in order
+ * @failure: description of the first violated invariant, NULL if there is none
+ * @failure_kind: format string of @failure, without the values
+ * @done: number of calls that their caller saw end as done
+ * @not_run: number of calls that their caller saw end as not run
+ * @unknown: number of calls that their caller saw end as unknown
  */
 struct world
 {
@@ -244,13 +298,13 @@
   uint64_t next_request;
   GSequence *queue;
   struct node nodes[NODE_MAX];
-  uint64_t cut_until_us[ZONE_COUNT_MAX][ZONE_COUNT_MAX];
+  uint64_t partitioned_until_us[ZONE_COUNT_MAX][ZONE_COUNT_MAX];
   uint64_t outage_until_us;
   uint64_t loss_until_us;
-  uint64_t calm_from_us;
+  uint64_t stable_from_us;
   GHashTable *claims;
   GHashTable *requests;
-  GPtrArray *configs; /* by version, from 1 */
+  GPtrArray *configs;
   GArray *tickets;
   GPtrArray *owned;
   GPtrArray *runs;
@@ -272,58 +326,134 @@
 void world_run (struct world *world);
 void world_drop (struct world *world);
 
-/* world.c, for the other files. */
+/* world.c */
+
+/**
+ * begin_stream - starts a random number stream
+ *
+ * The stream depends on the seed of the run, @first and @second only.
+ */
 void begin_stream (struct world *world, uint64_t first, uint64_t second);
-uint32_t pick (struct world *world, uint32_t bound);
-bool chance (struct world *world, uint32_t permille);
-uint64_t between (struct world *world, uint64_t from, uint64_t to);
-bool is_up (const struct node *node, uint64_t life);
-bool
-is_cut (const struct world *world, const struct node *a, const struct node *b);
+uint32_t random_below (struct world *world, uint32_t bound);
+
+/**
+ * random_chance - returns true with a probability in thousandths
+ */
+bool random_chance (struct world *world, uint32_t permille);
+
+/**
+ * random_between - returns a random number from @from to @to inclusive
+ */
+uint64_t random_between (struct world *world, uint64_t from, uint64_t to);
+
+/**
+ * is_up - whether a daemon runs and was not restarted after @generation
+ */
+bool is_up (const struct node *node, uint64_t generation);
+
+/**
+ * is_partitioned - whether the zones of two daemons cannot reach each other
+ */
+bool is_partitioned (const struct world *world,
+                     const struct node *a,
+                     const struct node *b);
+
+/**
+ * step - gives an event to the reducer of a daemon and executes its effects
+ */
 void step (struct node *node, struct jl_event *event);
-void post_event (struct node *node,
-                 uint64_t life,
-                 uint64_t delay_us,
-                 const struct jl_event *event);
 
-/* Whichever life of a daemon there is then. */
-#define ANY_LIFE 0
+/**
+ * schedule_event - schedules an event for the reducer of a daemon
+ */
+void schedule_event (struct node *node,
+                     uint64_t generation,
+                     uint64_t delay_us,
+                     const struct jl_event *event);
+
+/* Matches every start of a daemon. */
+#define ANY_GENERATION 0
 
-/* What happens when an item's time has come. */
+/* Declares the function that is called when an item is due. */
 #define ITEM_FN(name) void (*name) (struct world *, struct node *, void *)
-void
-post (struct world *world, uint64_t delay_us, ITEM_FN (fire), void *argument);
+void schedule (struct world *world,
+               uint64_t delay_us,
+               ITEM_FN (fire),
+               void *argument);
 
 /**
- * post_to - the same at one life of a daemon, held up while it is frozen
+ * schedule_on_node - schedules a call of @fire at a daemon
+ * @generation: number of the daemon's start that the call belongs to, or
+ *              ANY_GENERATION; the call is dropped if another start is current
+ *
+ * While the daemon is frozen, the call waits in its backlog.
  */
-void post_to (struct node *node,
-              uint64_t life,
-              uint64_t delay_us,
-              ITEM_FN (fire),
-              void *argument);
+void schedule_on_node (struct node *node,
+                       uint64_t generation,
+                       uint64_t delay_us,
+                       ITEM_FN (fire),
+                       void *argument);
 
 /* faults.c */
 void begin_input (struct world *world, const struct input *input);
 void start_node (struct node *node);
+
+/**
+ * stop_node - stops a daemon as a crash does, which breaks its exchanges
+ */
 void stop_node (struct node *node);
+
+/**
+ * exit_node - frees the state of a daemon that no longer runs
+ */
 void exit_node (struct node *node);
+
+/**
+ * fetch_config - copies the configuration of the daemon at @peer
+ */
 void fetch_config (struct node *node, struct jl_endpoint peer);
 
 /* http.c */
-void carry_out (struct node *node, const struct jl_effect *effect);
+void execute_effect (struct node *node, const struct jl_effect *effect);
+
+/**
+ * break_exchanges - breaks all open exchanges of a daemon that stops
+ */
 void break_exchanges (struct node *node);
+
+/**
+ * call_node - gives a call to a daemon
+ * @exchange: the exchange that forwards the call, NULL for none
+ */
 void call_node (struct node *node,
                 struct sending *sending,
                 struct exchange *exchange,
                 struct jl_event_call *event);
 
 /* kinds.c */
+
+/* Retries that the call tree of one request may use. */
 #define RETRY_TOKENS 2
+
+/**
+ * kind_index - returns the position of a kind in the configuration of a daemon
+ *
+ * Return: JL_NONE if the daemon has no configuration.
+ */
 uint32_t kind_index (const struct node *node, uint32_t kind);
-uint64_t version_of (const struct node *node);
+
+/**
+ * config_version_of - returns the configuration version at a daemon, 0 for none
+ */
+uint64_t config_version_of (const struct node *node);
 uint32_t kind_service (uint32_t kind);
 bool kind_idempotent (uint32_t kind);
+
+/**
+ * kind_children - lists the kinds of the child calls that a kind makes
+ *
+ * Return: the number of child calls.
+ */
 uint32_t
 kind_children (const struct world *world, uint32_t kind, uint32_t *children);
 struct jl_config *make_config (const struct plan *plan, uint64_t version);
@@ -347,12 +477,22 @@
 struct request *find_request (struct world *world, uint64_t id, uint32_t kind);
 
 /* observer.c */
-void fail (struct world *world, const char *format, ...) G_GNUC_PRINTF (2, 3);
+/**
+ * report_violation - fails the run, unless it has failed already
+ */
+void report_violation (struct world *world, const char *format, ...)
+    G_GNUC_PRINTF (2, 3);
 void observe_send (struct node *node, const struct exchange *exchange);
 void observe_run (struct node *node, const struct edge_work *work);
-void observe_told (struct sending *sending,
-                   enum jl_outcome outcome,
-                   enum jl_outcome alone);
+
+/**
+ * observe_outcome - checks an outcome that a caller or a target got
+ * @outcome: outcome of the request
+ * @sending_outcome: outcome of this sending alone
+ */
+void observe_outcome (struct sending *sending,
+                      enum jl_outcome outcome,
+                      enum jl_outcome sending_outcome);
 void observe_answer (struct node *node,
                      const struct edge_call *call,
                      const struct jl_effect_answer *answer,
