--- a/tests/bench/latency.c
+++ b/tests/bench/latency.c
@@ -1,9 +1,9 @@
 /**
- * DOC: Time that the daemons add to a call.
+ * DOC: Measures the latency that the daemons add to a call.
  *
- * Sends GET requests at a fixed rate, each at its planned time, to one or
- * more endpoints, and prints the distribution of the answers' times. Several
- * endpoints are compared in one run, request by request in turn.
+ * Sends GET requests at a fixed rate, each at its scheduled time, to one or
+ * more endpoints, and prints the latency distribution by endpoint. Successive
+ * requests go to the endpoints in turn, so that one run compares them.
  *
  *   latency PATH RATE SECONDS ENDPOINT...
  */
@@ -13,14 +13,16 @@
 
 #include "jackdawladder/http.h"
 
-#define THREADS 16
+#define THREAD_COUNT 16
 #define TIMEOUT_US (2 * JL_USEC_PER_SEC)
 #define ENDPOINT_MAX 8
 
 /**
- * struct bench - what all threads share
+ * struct bench - state shared by all threads
  * @next: number of the next request
- * @times: of each endpoint, microseconds
+ * @lock: protects @times and @failed
+ * @times: latencies by endpoint, in microseconds
+ * @failed: number of requests by endpoint without an answer of status 200
  */
 struct bench
 {
@@ -38,33 +40,33 @@
 };
 
 static void
-send_one (struct bench *bench, int number)
+send_request (struct bench *bench, int number)
 {
-  int which = number % bench->endpoint_count;
+  int endpoint_index = number % bench->endpoint_count;
   struct jl_http_message request;
   struct jl_http_message answer;
-  struct jl_http_call call = { .endpoint = bench->endpoints[which],
+  struct jl_http_call call = { .endpoint = bench->endpoints[endpoint_index],
                                .method = "GET",
                                .target = bench->path,
                                .request = &request,
                                .timeout_us = TIMEOUT_US,
                                .answer_max = 1 << 20 };
   enum jl_http_result result;
-  uint64_t began_us;
+  uint64_t start_us;
   uint64_t took_us;
   uint32_t status;
 
   jl_http_message_init (&request);
   jl_http_message_init (&answer);
   jl_http_add_header (&request, "Jl-Work", "1");
-  began_us = jl_now ();
+  start_us = jl_now ();
   result = jl_http_perform (bench->pool, &call, &status, &answer);
-  took_us = jl_now () - began_us;
+  took_us = jl_now () - start_us;
   g_mutex_lock (&bench->lock);
   if (result == JL_HTTP_ANSWERED && status == 200)
-    g_array_append_val (bench->times[which], took_us);
+    g_array_append_val (bench->times[endpoint_index], took_us);
   else
-    bench->failed[which]++;
+    bench->failed[endpoint_index]++;
   g_mutex_unlock (&bench->lock);
   jl_http_message_clear (&request);
   jl_http_message_clear (&answer);
@@ -85,7 +87,7 @@
         return NULL;
       if (due_us > now_us)
         g_usleep (due_us - now_us);
-      send_one (bench, number);
+      send_request (bench, number);
     }
 }
 
@@ -109,15 +111,15 @@
 }
 
 static void
-print_times (const struct bench *bench, int which)
+print_times (const struct bench *bench, int endpoint_index)
 {
-  GArray *times = bench->times[which];
+  GArray *times = bench->times[endpoint_index];
   char endpoint[JL_ENDPOINT_TEXT_SIZE];
 
   g_array_sort (times, compare_times);
-  jl_endpoint_format (bench->endpoints[which], endpoint);
+  jl_endpoint_format (bench->endpoints[endpoint_index], endpoint);
   printf ("%-22s answered %u failed %u  50%% %u us  99%% %u us  99.9%% %u us\n",
-          endpoint, times->len, (unsigned)bench->failed[which],
+          endpoint, times->len, (unsigned)bench->failed[endpoint_index],
           (unsigned)quantile (times, 0.5), (unsigned)quantile (times, 0.99),
           (unsigned)quantile (times, 0.999));
 }
@@ -126,7 +128,7 @@
 main (int argc, char **argv)
 {
   struct bench bench = { 0 };
-  GThread *threads[THREADS];
+  GThread *threads[THREAD_COUNT];
   int rate;
 
   if (argc < 5)
@@ -143,11 +145,11 @@
           = g_array_new (FALSE, FALSE, sizeof (uint64_t));
     }
   g_mutex_init (&bench.lock);
-  bench.pool = jl_http_pool_new (THREADS);
+  bench.pool = jl_http_pool_new (THREAD_COUNT);
   bench.start_us = jl_now ();
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     threads[i] = g_thread_new ("sender", run_thread, &bench);
-  for (int i = 0; i < THREADS; i++)
+  for (int i = 0; i < THREAD_COUNT; i++)
     g_thread_join (threads[i]);
   for (int i = 0; i < bench.endpoint_count; i++)
     print_times (&bench, i);
--- a/tests/bench/member.c
+++ b/tests/bench/member.c
@@ -1,7 +1,8 @@
 /**
- * DOC: What membership costs, and how fast news of it is, by site size.
+ * DOC: Measures the cost of membership and the time to spread a change, by
+ * number of daemons.
  *
- * Usage: member [SEED]. Prints one line for each size, never a verdict.
+ * Usage: member [SEED]. Prints one line for each size; nothing passes or fails.
  */
 
 #include <inttypes.h>
@@ -14,30 +15,30 @@
 #include "jackdawladder/control.h"
 #include "support/network.h"
 
-/* IPv4 and UDP headers of a datagram, bytes. */
-#define HEADER_SIZE 28
-#define START_US (5 * JL_USEC_PER_SEC)
+/* Size of the IPv4 and UDP headers of a datagram. */
+#define HEADER_BYTES 28
+#define STARTUP_US (5 * JL_USEC_PER_SEC)
 #define SETTLE_US (5 * JL_USEC_PER_SEC)
 #define IDLE_US (30 * JL_USEC_PER_SEC)
-#define SLICE_US (10 * JL_USEC_PER_MSEC)
-#define CUT_US (60 * JL_USEC_PER_SEC)
-#define PATIENCE_US (300 * JL_USEC_PER_SEC)
-/* Events of each kind; the slowest one is shown. */
-#define REPEAT_COUNT 8
+#define STEP_US (10 * JL_USEC_PER_MSEC)
+#define PARTITION_US (60 * JL_USEC_PER_SEC)
+#define TIMEOUT_US (300 * JL_USEC_PER_SEC)
+/* Number of changes measured of each type; the slowest one is printed. */
+#define CHANGE_COUNT 8
 
-/* One wake-up of the receiver for each datagram, as in a daemon. */
+/* The gap makes the receiver wake up for each datagram, as in a daemon. */
 #define DATAGRAM_COUNT 20000
 #define DATAGRAM_GAP_US 100
 
 static const uint32_t sizes[] = { 3, 30, 100, 470 };
 
-/* The node that an event is about, and how many nodes run. */
+/* The node that is changed, and the number of nodes that run. */
 static uint32_t subject;
 static uint32_t running;
 
 static void
-ignore (void *context G_GNUC_UNUSED,
-        const struct jl_message *message G_GNUC_UNUSED)
+ignore_message (void *context G_GNUC_UNUSED,
+                const struct jl_message *message G_GNUC_UNUSED)
 {
 }
 
@@ -46,8 +47,8 @@
 {
   uint64_t begin_us = network->now_us;
 
-  while (!is_done (network) && network->now_us < begin_us + PATIENCE_US)
-    network_run (network, SLICE_US);
+  while (!is_done (network) && network->now_us < begin_us + TIMEOUT_US)
+    network_run (network, STEP_US);
   return network->now_us - begin_us;
 }
 
@@ -102,11 +103,11 @@
   return (double)count / seconds / network->count;
 }
 
-/* Bytes sent, with the headers, since the counters were cleared. */
+/* Return: bytes sent since the counters were cleared, with the headers. */
 static uint64_t
 bytes_sent (const struct network *network)
 {
-  return network->sent_bytes + network->sent * HEADER_SIZE;
+  return network->sent_bytes + network->sent * HEADER_BYTES;
 }
 
 static void
@@ -130,9 +131,9 @@
       network_announce (network, i);
     }
   join_us = run_until (network, is_joined);
-  network_run (network, START_US - MIN (START_US, join_us));
+  network_run (network, STARTUP_US - MIN (STARTUP_US, join_us));
   printf ("%7u %7" PRIu64 " %10.0f", network->count, join_us / 1000,
-          per_daemon_second (network, bytes_sent (network), START_US));
+          per_daemon_second (network, bytes_sent (network), STARTUP_US));
 }
 
 static void
@@ -150,7 +151,7 @@
 }
 
 static void
-keep_slowest (uint64_t *slowest_us, uint64_t time_us)
+update_max (uint64_t *slowest_us, uint64_t time_us)
 {
   *slowest_us = MAX (*slowest_us, time_us);
 }
@@ -160,10 +161,10 @@
 {
   uint64_t slowest_us = 0;
 
-  for (uint64_t i = 0; i < REPEAT_COUNT; i++)
+  for (uint64_t i = 0; i < CHANGE_COUNT; i++)
     {
       network_config (network, 0, i + 1);
-      keep_slowest (&slowest_us, run_until (network, is_config_everywhere));
+      update_max (&slowest_us, run_until (network, is_config_everywhere));
       network_run (network, SETTLE_US);
     }
   return slowest_us;
@@ -174,11 +175,11 @@
 {
   uint64_t slowest_us = 0;
 
-  for (uint32_t i = 0; i < REPEAT_COUNT; i++)
+  for (uint32_t i = 0; i < CHANGE_COUNT; i++)
     {
       subject = (7 * i + 1) % network->count;
       network_target_leave (network, subject);
-      keep_slowest (&slowest_us, run_until (network, is_unusable));
+      update_max (&slowest_us, run_until (network, is_unusable));
       network_announce (network, subject);
       run_until (network, is_usable);
       network_run (network, SETTLE_US);
@@ -191,11 +192,11 @@
 {
   uint64_t slowest_us = 0;
 
-  for (uint32_t i = 0; i < REPEAT_COUNT; i++)
+  for (uint32_t i = 0; i < CHANGE_COUNT; i++)
     {
       subject = (7 * i + 1) % network->count;
       network_stop (network, subject);
-      keep_slowest (&slowest_us, run_until (network, is_unusable));
+      update_max (&slowest_us, run_until (network, is_unusable));
       network_run (network, SETTLE_US);
       network_start (network, subject, (subject + 1) % network->count);
       network_announce (network, subject);
@@ -205,7 +206,7 @@
   return slowest_us;
 }
 
-/* Two halves that were apart for CUT_US find each other again. */
+/* Measures how two halves of the site join again after a partition. */
 static void
 measure_rejoin (struct network *network)
 {
@@ -213,7 +214,7 @@
 
   for (uint32_t i = 0; i < network->count / 2; i++)
     network->nodes[i].group = 1;
-  network_run (network, CUT_US);
+  network_run (network, PARTITION_US);
   clear_counters (network);
   for (uint32_t i = 0; i < network->count / 2; i++)
     network->nodes[i].group = 0;
@@ -239,12 +240,12 @@
   network_drop (network);
 }
 
-/* What one datagram costs its sender and its receiver together. */
+/* Measures the processor time of a datagram at sender and receiver together. */
 static void
 measure_sockets (void)
 {
-  struct jl_endpoint ends[2] = { { .ip = 0x7f0a6401u, .port = 7000 },
-                                 { .ip = 0x7f0a6402u, .port = 7000 } };
+  struct jl_endpoint endpoints[2] = { { .ip = 0x7f0a6401u, .port = 7000 },
+                                      { .ip = 0x7f0a6402u, .port = 7000 } };
   struct jl_message message = { .type = JL_MESSAGE_PROBE };
   struct jl_control *controls[2];
   struct jl_control_counts counts;
@@ -252,16 +253,16 @@
   struct timespec end;
 
   for (int i = 0; i < 2; i++)
-    controls[i] = jl_control_open (ends[i], ignore, NULL, NULL);
+    controls[i] = jl_control_open (endpoints[i], ignore_message, NULL, NULL);
   if (controls[0] == NULL || controls[1] == NULL)
     return;
-  message.from.member = jl_member_id (ends[0]);
+  message.from.member = jl_member_id (endpoints[0]);
   message.from.epoch = 1;
-  message.to.member = jl_member_id (ends[1]);
+  message.to.member = jl_member_id (endpoints[1]);
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &begin);
   for (int i = 0; i < DATAGRAM_COUNT; i++)
     {
-      jl_control_send (controls[0], ends[1], &message);
+      jl_control_send (controls[0], endpoints[1], &message);
       g_usleep (DATAGRAM_GAP_US);
     }
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &end);
@@ -284,7 +285,7 @@
   printf ("seed %u; virtual time; bytes with IP and UDP headers\n", seed);
   printf ("        whole site starts  idle, each daemon and second         "
           "  until all know, slowest of %d  after a cut, each\n",
-          REPEAT_COUNT);
+          CHANGE_COUNT);
   printf ("daemons join_ms bytes_sent messages   bytes core_us code_us "
           "config_ms target_ms crash_ms rejoin_ms bytes/s\n");
   for (size_t i = 0; i < G_N_ELEMENTS (sizes); i++)
--- a/tests/bench/reducer.c
+++ b/tests/bench/reducer.c
@@ -1,11 +1,11 @@
 /**
- * DOC: Events that the reducer handles in a second, on one core.
+ * DOC: Measures the events per second that the reducer handles on one core.
  *
  *     reducer [SECONDS]
  *
- * Two mixes, each with a configuration, members and an own target: calls that
- * are sent and answered, and work items that run and end. The second is run
- * once within the capacity, and once with a full queue.
+ * There are two mixes of events, each with a configuration and members: calls
+ * that are sent and answered, and, with a local target, work items that run and
+ * end. The second mix runs once within the capacity and once with a full queue.
  */
 
 #include <inttypes.h>
@@ -34,8 +34,8 @@
       "    \"deadline_ms\": 1000, \"retry_tokens\": 2 }] }";
 
 /**
- * struct bench - a reducer and what its fakes keep
- * @running: works that run, as a ring
+ * struct bench - a reducer and the state of its fake environment
+ * @running: ring buffer of the work items that run
  */
 struct bench
 {
@@ -139,7 +139,7 @@
   return NULL;
 }
 
-/* A call and its answer: two events. */
+/* Makes a call and answers it, which takes two events. */
 static void
 run_call (struct bench *bench)
 {
@@ -164,7 +164,7 @@
 }
 
 static void
-note_runs (struct bench *bench)
+record_runs (struct bench *bench)
 {
   for (size_t i = 0; i < jl_effects_count (bench->effects); i++)
     {
@@ -179,7 +179,7 @@
 }
 
 static void
-arrive (struct bench *bench)
+add_work (struct bench *bench)
 {
   struct jl_event event = { .type = JL_EVENT_WORK };
 
@@ -191,11 +191,11 @@
   event.work.budget_us = JL_USEC_PER_SEC;
   event.work.digest = event.work.work;
   step (bench, &event);
-  note_runs (bench);
+  record_runs (bench);
 }
 
 static void
-end_oldest (struct bench *bench)
+end_oldest_run (struct bench *bench)
 {
   struct jl_event event = { .type = JL_EVENT_WORK_RESULT };
 
@@ -205,26 +205,26 @@
   bench->running_first = (bench->running_first + 1) % (2 * SLOTS);
   bench->running_count--;
   step (bench, &event);
-  note_runs (bench);
+  record_runs (bench);
 }
 
-/* An arrival and an end, half the slots in use. */
+/* Adds a work item and ends one, with half of the slots in use. */
 static void
-run_work (struct bench *bench)
+run_normal_load (struct bench *bench)
 {
-  arrive (bench);
+  add_work (bench);
   if (bench->running_count > SLOTS / 2)
-    end_oldest (bench);
+    end_oldest_run (bench);
 }
 
-/* Three arrivals and an end, all slots in use. */
+/* Adds three work items and ends one, with all slots in use. */
 static void
 run_overload (struct bench *bench)
 {
   for (int i = 0; i < 3; i++)
-    arrive (bench);
+    add_work (bench);
   if (bench->running_count == SLOTS)
-    end_oldest (bench);
+    end_oldest_run (bench);
 }
 
 static void
@@ -268,7 +268,7 @@
   uint64_t duration_us = JL_USEC_PER_SEC * (argc > 1 ? atoi (argv[1]) : 3);
 
   measure ("calls", false, run_call, duration_us);
-  measure ("works", true, run_work, duration_us);
+  measure ("works", true, run_normal_load, duration_us);
   measure ("works under overload", true, run_overload, duration_us);
   return 0;
 }
--- a/tests/fuzz/config.c
+++ b/tests/fuzz/config.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Arbitrary bytes as a configuration document.
+ * DOC: Fuzz test that parses arbitrary bytes as a configuration document.
  */
 
 #include <stdlib.h>
@@ -9,7 +9,11 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* What is taken has to be whole: every index inside, every text ended. */
+/*
+ * An accepted configuration must be consistent: the text is kept unchanged, the
+ * indexes are in range, each kind has a deadline, and the path of each kind
+ * matches that kind or an earlier one.
+ */
 static void
 check (const struct jl_config *config, const uint8_t *data, size_t size)
 {
--- a/tests/fuzz/row.c
+++ b/tests/fuzz/row.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Arbitrary bytes as the configuration's row in the platform's table.
+ * DOC: Fuzz test that parses arbitrary bytes as the configuration row of the
+ * platform's table.
  */
 
 #include <stdlib.h>
@@ -9,7 +10,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* A row that was taken comes back the same from its own text. */
+/* An accepted row must be the same after it is formatted and parsed again. */
 static void
 check (const struct jl_row *row)
 {
--- a/tests/fuzz/settings.c
+++ b/tests/fuzz/settings.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Arbitrary bytes as a settings file.
+ * DOC: Fuzz test that parses arbitrary bytes as a settings file.
  */
 
 #include <stdlib.h>
@@ -8,6 +8,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
+/* Accepted settings must be complete and within their bounds. */
 static void
 check (const struct jl_settings *settings)
 {
--- a/tests/fuzz/wire.c
+++ b/tests/fuzz/wire.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Arbitrary bytes as a control message.
+ * DOC: Fuzz test that decodes arbitrary bytes as a control message.
  */
 
 #include <stdlib.h>
@@ -16,7 +16,7 @@
     abort ();
 }
 
-/* What is taken has to be within its bounds, and to encode again. */
+/* A decoded message must be within its bounds, and must encode again. */
 static void
 check (const struct jl_message *message)
 {
@@ -47,7 +47,7 @@
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
   struct jl_message message;
-  /* The decoder reads words. */
+  /* The decoder reads whole words, so the data must be aligned. */
   uint8_t *aligned = malloc (size + 1);
 
   if (aligned == NULL)
--- a/tests/scripted/commands.c
+++ b/tests/scripted/commands.c
@@ -1,5 +1,5 @@
 /**
- * DOC: From commands of a script to events.
+ * DOC: Translates the commands of a script to events.
  */
 
 #include "commands.h"
@@ -9,16 +9,16 @@
 
 #include "../support/print.h"
 
-/* How often a target that stays announces itself again. */
-#define ANNOUNCE_US (1 * JL_USEC_PER_SEC)
-/* Uneven order through a range of priorities. */
+/* Time between two announcements of a target that stays up. */
+#define ANNOUNCE_INTERVAL_US (1 * JL_USEC_PER_SEC)
+/* Step through a range of priorities, so that they don't arrive sorted. */
 #define PRIORITY_STRIDE 37
-/* The daemon under test, and the one that sends work items. */
+/* Numbers of the daemon under test and of the daemon that sends work items. */
 #define SELF_MEMBER 1
 #define SENDER_MEMBER 9
 
 /**
- * struct handler - a command by name
+ * struct handler - function that executes the command of a name
  */
 struct handler
 {
@@ -43,8 +43,9 @@
   return script_range (command, script_word (command, 0)).first;
 }
 
+/* Handles commands without arguments. */
 static void
-handle_plain (struct run *run, const struct script_command *command)
+handle_bare_event (struct run *run, const struct script_command *command)
 {
   struct jl_event event = { .type = JL_EVENT_TICK };
 
@@ -93,8 +94,8 @@
   event.announce.started = script_number (command, "started", 1);
   run_step (run, &event, true);
   until_us = script_time (command, "until", 0);
-  for (event.now_us = run->now_us + ANNOUNCE_US; event.now_us <= until_us;
-       event.now_us += ANNOUNCE_US)
+  for (event.now_us = run->now_us + ANNOUNCE_INTERVAL_US;
+       event.now_us <= until_us; event.now_us += ANNOUNCE_INTERVAL_US)
     run_schedule (run, &event, false);
 }
 
@@ -115,7 +116,7 @@
   struct script_range range = script_range (command, script_word (command, 0));
 
   info->incarnation = (uint32_t)script_number (command, "incarnation", 1);
-  info->state = (enum jl_member_state)script_name (
+  info->state = (enum jl_member_state)script_lookup (
       command, states, JL_MEMBER_STATE_COUNT,
       script_text (command, "state", "alive"));
   g_strlcpy (info->zone, script_text (command, "zone", ""), JL_NAME_SIZE);
@@ -134,7 +135,7 @@
     }
 }
 
-/* Gives one event for each number of a range, now or spread over time. */
+/* Gives the reducer an event for each number of a range, now or over time. */
 static void
 step_range (struct run *run,
             const struct script_command *command,
@@ -180,7 +181,7 @@
   step_range (run, command, &event, &event.call.call);
 }
 
-/* Reads "SERVICE:LEVEL,SERVICE:LEVEL". */
+/* Parses "SERVICE:LEVEL,SERVICE:LEVEL". */
 static void
 parse_levels (struct run *run,
               const struct script_command *command,
@@ -204,6 +205,7 @@
   g_strfreev (items);
 }
 
+/* Fills in the call and its latest attempt. */
 static void
 set_attempt (struct run *run,
              const struct script_command *command,
@@ -248,7 +250,7 @@
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
 
   set_attempt (run, command, &event.call_result);
-  event.call_result.result = (enum jl_send_result)script_name (
+  event.call_result.result = (enum jl_send_result)script_lookup (
       command, names, G_N_ELEMENTS (names), script_word (command, 1));
   run_step (run, &event, true);
 }
@@ -287,7 +289,7 @@
       = { "answered", "not-sent", "broken", "timeout", "aborted", "too-large" };
   struct jl_event event = { .type = JL_EVENT_WORK_RESULT };
 
-  event.work_result.result = (enum jl_run_result)script_name (
+  event.work_result.result = (enum jl_run_result)script_lookup (
       command, names, G_N_ELEMENTS (names), script_word (command, 1));
   if (event.work_result.result == JL_RUN_ANSWERED)
     event.work_result.status = 200;
@@ -351,16 +353,26 @@
 }
 
 static const struct handler handlers[] = {
-  { "tick", handle_plain },         { "drain", handle_plain },
-  { "target-leave", handle_plain }, { "config", handle_config },
-  { "announce", handle_announce },  { "member", handle_member },
-  { "call", handle_call },          { "answer", handle_answer },
-  { "lost", handle_lost },          { "gone", handle_gone },
-  { "work", handle_work },          { "end", handle_end },
-  { "cancel", handle_cancel },      { "strike", handle_strike },
-  { "serve", handle_serve },        { "quiet", handle_output },
-  { "verbose", handle_output },     { "hide-membership", handle_output },
-  { "summary", handle_summary },    { "show", handle_show },
+  { "tick", handle_bare_event },
+  { "drain", handle_bare_event },
+  { "target-leave", handle_bare_event },
+  { "config", handle_config },
+  { "announce", handle_announce },
+  { "member", handle_member },
+  { "call", handle_call },
+  { "answer", handle_answer },
+  { "lost", handle_lost },
+  { "gone", handle_gone },
+  { "work", handle_work },
+  { "end", handle_end },
+  { "cancel", handle_cancel },
+  { "strike", handle_strike },
+  { "serve", handle_serve },
+  { "quiet", handle_output },
+  { "verbose", handle_output },
+  { "hide-membership", handle_output },
+  { "summary", handle_summary },
+  { "show", handle_show },
 };
 
 void
@@ -393,11 +405,11 @@
   g_strlcpy (options.zone, script_text (command, "zone", "zone-a"),
              JL_NAME_SIZE);
   options.seed = (uint32_t)script_number (command, "seed", 1);
-  options.mode
-      = (enum jl_core_mode)script_name (command, modes, G_N_ELEMENTS (modes),
-                                        script_text (command, "mode", "full"));
-  off = script_name (command, mechanisms, G_N_ELEMENTS (mechanisms),
-                     script_text (command, "off", "none"));
+  options.mode = (enum jl_core_mode)script_lookup (
+      command, modes, G_N_ELEMENTS (modes),
+      script_text (command, "mode", "full"));
+  off = script_lookup (command, mechanisms, G_N_ELEMENTS (mechanisms),
+                       script_text (command, "off", "none"));
   options.switched_off = off == 0 ? 0 : 1U << (off - 1);
   return run_new (&options);
 }
--- a/tests/scripted/main.c
+++ b/tests/scripted/main.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Runs a script of events against the reducer and prints every effect.
+ * DOC: Runs a script of events against the reducer and prints each effect.
  *
  *     scripted-run FILE
  *
@@ -8,20 +8,29 @@
  *     options zone=Z mode=M seed=N off=MECHANISM
  *     config FILE version=N
  *     announce SERVICE slots=N connections=N started=N until=MS
- *     target-leave | drain | tick | show | summary | quiet | verbose
- *     hide-membership            leaves out probes, news and rows
- *     serve MS                   answers each run by itself after that time
- *     member N service=S zone=Z slots=N connections=N incarnation=N state=S
- * up=B call N kind=K parent=N ordinal=N digest=N budget=MS key=N answer N
- * OUTCOME reason=R load=N levels=S:N,... tokens=N no-retry=B lost N
- * broken|not-sent|timeout gone N work N kind=K priority=P invested=MS budget=MS
- * digest=N tokens=N from=M end N
- * answered|not-sent|broken|timeout|aborted|too-large cancel N from=M cancels
- * the work item strike digest=N target=M age=MS
+ *     target-leave | drain | tick
+ *     show                       prints the state of admission
+ *     summary                    prints counts of work items by class
+ *     quiet | verbose            prints summaries and states only, or all
+ *     hide-membership            omits membership messages and published rows
+ *     serve MS                   answers each run after that time
+ *     member N service=S zone=Z slots=N connections=N
+ *            incarnation=N state=S up=B
+ *     call N kind=K parent=N ordinal=N digest=N budget=MS key=N
+ *     answer N OUTCOME reason=R load=N levels=S:N,... tokens=N
+ *            no-retry=B retry-after=MS
+ *     lost N broken|not-sent|timeout
+ *     gone N
+ *     work N kind=K priority=P invested=MS budget=MS digest=N
+ *            tokens=N from=M
+ *     end N answered|not-sent|broken|timeout|aborted|too-large
+ *     cancel N from=M            cancels the work item
+ *     strike digest=N target=M age=MS
  *
- * N of call, work, end and member may be FIRST-LAST, the first three with
- * every=MS; the priority of work may be a range too, which is gone through in
- * an uneven order.
+ * N of call, work, end and member may be a range FIRST-LAST. For call, work
+ * and end, every=MS spreads the events of the range over time. The priority
+ * of work may be a range too; the work items get its values in an order that
+ * is not sorted.
  */
 
 #include <stdio.h>
--- a/tests/scripted/run.c
+++ b/tests/scripted/run.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Runs events against the reducer, with small fakes for target and peers.
+ * DOC: Runs events against the reducer, with a fake target and fake members.
  */
 
 #include "run.h"
@@ -9,11 +9,13 @@
 
 #include "../support/print.h"
 
-/* A member that is there acknowledges a probe after this long. */
-#define ACK_US (1 * JL_USEC_PER_MSEC)
+/* Time that a known member takes to acknowledge a probe. */
+#define ACK_DELAY_US (1 * JL_USEC_PER_MSEC)
 
 /**
- * struct pending - an event that is to come
+ * struct pending - a scheduled event
+ * @order: order of events of the same time
+ * @echo: whether the event is printed
  */
 struct pending
 {
@@ -85,7 +87,11 @@
   g_sequence_insert_sorted (run->pending, pending, compare_pending, NULL);
 }
 
-/* Probes, news, rows and their log events; strikes are printed. */
+/*
+ * Whether an effect only concerns membership: probes, member updates, published
+ * rows and their log events. Messages with strikes don't count, so they are
+ * printed.
+ */
 static bool
 is_membership (const struct jl_effect *effect)
 {
@@ -110,7 +116,7 @@
 }
 
 static void
-keep_attempt (struct run *run, uint64_t call, struct jl_attempt_id attempt)
+record_attempt (struct run *run, uint64_t call, struct jl_attempt_id attempt)
 {
   struct jl_attempt_id *kept = g_new (struct jl_attempt_id, 1);
 
@@ -122,7 +128,7 @@
 schedule_ack (struct run *run, const struct jl_message *probe)
 {
   struct jl_event event
-      = { .type = JL_EVENT_MESSAGE, .now_us = run->now_us + ACK_US };
+      = { .type = JL_EVENT_MESSAGE, .now_us = run->now_us + ACK_DELAY_US };
   struct jl_message *ack;
 
   if (!g_hash_table_contains (run->members,
@@ -175,17 +181,17 @@
   run_schedule (run, &event, true);
 }
 
-/* What the fakes do about an effect. */
+/* Lets the fake target and the fake members react to an effect. */
 static void
 handle_effect (struct run *run, const struct jl_effect *effect)
 {
   switch (effect->type)
     {
     case JL_EFFECT_SEND:
-      keep_attempt (run, effect->send.call, effect->send.attempt);
+      record_attempt (run, effect->send.call, effect->send.attempt);
       break;
     case JL_EFFECT_FORWARD:
-      keep_attempt (run, effect->forward.call, effect->forward.attempt);
+      record_attempt (run, effect->forward.call, effect->forward.attempt);
       break;
     case JL_EFFECT_MESSAGE:
       if (effect->message->message.type == JL_MESSAGE_PROBE)
@@ -315,9 +321,9 @@
     }
 }
 
-/* The member @key of a dump, an object without others in it. */
+/* Appends the object at @key of a JSON dump; it must not contain objects. */
 static void
-append_part (const char *dump, const char *key, GString *out)
+append_json_object (const char *dump, const char *key, GString *out)
 {
   const char *begin = strstr (dump, key);
   const char *end = begin == NULL ? NULL : strchr (begin, '}');
@@ -334,7 +340,7 @@
   jl_core_dump (run->core, dump);
   jl_print_time (run->out, run->now_us);
   g_string_append (run->out, "= ");
-  append_part (dump->str, "\"admission\"", run->out);
+  append_json_object (dump->str, "\"admission\"", run->out);
   g_string_append_c (run->out, '\n');
   g_string_free (dump, TRUE);
 }
--- a/tests/scripted/run.h
+++ b/tests/scripted/run.h
@@ -2,13 +2,18 @@
 #define JACKDAWLADDER_TESTS_RUN_H
 
 /**
- * DOC: One run of a script against one reducer, in virtual time.
+ * DOC: Run of a script against one reducer, in virtual time.
  */
 
 #include "jackdawladder/core.h"
 
 /**
- * struct run_counts - works of one class since the last summary
+ * struct run_counts - number of work items of one class since the last summary
+ * @works: work items that arrived
+ * @runs: work items that were started at the target
+ * @done: work items that were answered
+ * @refused: work items that ended otherwise, but for those in @late
+ * @late: work items whose deadline passed
  */
 struct run_counts
 {
@@ -20,14 +25,15 @@
 };
 
 /**
- * struct run - the reducer and the small fakes around it
- * @quiet: only summaries are printed
- * @hide_membership: messages and rows of the membership are not printed
- * @serve_us: runs are answered by themselves after this long, 0 for never
- * @pending: events to come, in order of time
- * @members: members that answer probes
- * @attempts: call number to the attempt that is out
- * @works: work number to its priority plus one
+ * struct run - a reducer with a fake target and fake members
+ * @quiet: whether only summaries and states of admission are printed
+ * @hide_membership: whether membership messages and published rows are omitted
+ * @serve_us: time after which the fake target answers a run, 0 for never
+ * @next_order: order of the next event among events of the same time
+ * @pending: scheduled events, in order of time
+ * @members: members that acknowledge probes
+ * @attempts: call number to the last attempt that was sent
+ * @works: number of a work item to its priority plus one
  */
 struct run
 {
@@ -51,24 +57,25 @@
 void run_drop (struct run *run);
 
 /**
- * run_step - gives @event to the reducer now, and prints both sides
- * @echo: print the event
+ * run_step - gives @event to the reducer now, and prints the effects
+ * @echo: whether the event is printed too
  */
 void run_step (struct run *run, struct jl_event *event, bool echo);
 
 /**
- * run_schedule - gives @event to the reducer at its own time
- * @event: a message in it is owned by the run from now on
+ * run_schedule - schedules @event for the time that it carries
+ * @event: the run takes ownership of the message in it, if there is one
+ * @echo: whether the event is printed
  */
 void run_schedule (struct run *run, const struct jl_event *event, bool echo);
 
 /**
- * run_until - lets the time pass up to and including @time_us
+ * run_until - handles all events and timers due up to and including @time_us
  */
 void run_until (struct run *run, uint64_t time_us);
 
 /**
- * run_summary - prints the counts of works by class, and clears them
+ * run_summary - prints the counts of work items by class, and clears them
  */
 void run_summary (struct run *run);
 
--- a/tests/scripted/script.c
+++ b/tests/scripted/script.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Reads scripts of events.
+ * DOC: Parser of event scripts.
  */
 
 #include "script.h"
@@ -26,7 +26,11 @@
   return value;
 }
 
-/* Milliseconds with up to three decimals, in microseconds. */
+/*
+ * Parses milliseconds, which may have a fraction.
+ *
+ * Return: microseconds, rounded.
+ */
 static uint64_t
 parse_time (const struct script_command *command, const char *text)
 {
@@ -133,38 +137,38 @@
 const char *
 script_text (const struct script_command *command,
              const char *key,
-             const char *absent)
+             const char *default_value)
 {
   const char *value = g_hash_table_lookup (command->values, key);
 
-  return value == NULL ? absent : value;
+  return value == NULL ? default_value : value;
 }
 
 uint64_t
 script_number (const struct script_command *command,
                const char *key,
-               uint64_t absent)
+               uint64_t default_value)
 {
   const char *value = g_hash_table_lookup (command->values, key);
 
-  return value == NULL ? absent : parse_number (command, value);
+  return value == NULL ? default_value : parse_number (command, value);
 }
 
 uint64_t
 script_time (const struct script_command *command,
              const char *key,
-             uint64_t absent_us)
+             uint64_t default_us)
 {
   const char *value = g_hash_table_lookup (command->values, key);
 
-  return value == NULL ? absent_us : parse_time (command, value);
+  return value == NULL ? default_us : parse_time (command, value);
 }
 
 uint32_t
-script_name (const struct script_command *command,
-             const char *const *names,
-             uint32_t count,
-             const char *name)
+script_lookup (const struct script_command *command,
+               const char *const *names,
+               uint32_t count,
+               const char *name)
 {
   for (uint32_t i = 0; i < count; i++)
     if (strcmp (names[i], name) == 0)
@@ -183,6 +187,6 @@
       = parts[1] == NULL ? range.first : parse_number (command, parts[1]);
   g_strfreev (parts);
   if (range.last < range.first)
-    script_fail (command, "a range that goes down");
+    script_fail (command, "the range ends before it begins");
   return range;
 }
--- a/tests/support/print.c
+++ b/tests/support/print.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Events and effects as text.
+ * DOC: Formats events and effects as text.
  */
 
 #include "print.h"
@@ -39,7 +39,7 @@
                             now_us % JL_USEC_PER_MSEC);
 }
 
-/* Members of scripted runs by number, all others by address. */
+/* Prints members of scripted and random runs by number, others by address. */
 static void
 print_member (GString *out, const char *name, uint64_t member)
 {
@@ -61,7 +61,7 @@
   g_string_append_printf (out, " %s=%" PRIu64, name, number);
 }
 
-/* A number that is left out where it is zero. */
+/* Prints a number unless it is zero. */
 static void
 print_optional (GString *out, const char *name, uint64_t number)
 {
--- a/tests/support/site.c
+++ b/tests/support/site.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A few reducers that talk to each other in virtual time.
+ * DOC: Simulates several daemons in virtual time.
  */
 
 #include "site.h"
@@ -9,10 +9,12 @@
 
 #include "print.h"
 
-#define ANNOUNCE_US (1 * JL_USEC_PER_SEC)
+#define ANNOUNCE_INTERVAL_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct pending - an event on its way to a daemon
+ * struct pending - an event that is scheduled for a daemon
+ * @order: order of events of the same time
+ * @message: storage for the message that the event refers to
  */
 struct pending
 {
@@ -77,7 +79,7 @@
   return g_hash_table_lookup (site->works, GSIZE_TO_POINTER (work));
 }
 
-/* Calls are numbered at each daemon; their key is unique over all. */
+/* Combines the node and its call number to a key that is unique in the site. */
 static gpointer
 call_key (uint32_t node, uint64_t call)
 {
@@ -85,9 +87,9 @@
 }
 
 static void
-carry_send (struct jl_site *site,
-            uint32_t sender,
-            const struct jl_effect_send *send)
+execute_send (struct jl_site *site,
+              uint32_t sender,
+              const struct jl_effect_send *send)
 {
   struct jl_event event = { .type = JL_EVENT_WORK };
   struct jl_site_work *work = g_new0 (struct jl_site_work, 1);
@@ -104,17 +106,18 @@
   event.work.config_version = send->config_version;
   event.work.priority = send->priority;
   event.work.invested_us = send->invested_us;
-  event.work.budget_us
-      = send->budget_us > JL_SITE_HOP_US ? send->budget_us - JL_SITE_HOP_US : 0;
+  event.work.budget_us = send->budget_us > JL_SITE_LATENCY_US
+                             ? send->budget_us - JL_SITE_LATENCY_US
+                             : 0;
   event.work.anchor = send->anchor;
   event.work.tokens = send->tokens;
   event.work.digest = send->digest;
   g_hash_table_insert (site->works, GSIZE_TO_POINTER (work->number), work);
-  schedule (site, work->node, &event, site->now_us + JL_SITE_HOP_US);
+  schedule (site, work->node, &event, site->now_us + JL_SITE_LATENCY_US);
 }
 
 static void
-carry_finish (struct jl_site *site, const struct jl_effect_finish *finish)
+execute_finish (struct jl_site *site, const struct jl_effect_finish *finish)
 {
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
   const struct jl_site_work *work = find_work (site, finish->work);
@@ -131,26 +134,26 @@
   event.call_result.status = work->status;
   g_hash_table_insert (site->statuses, call_key (work->sender, work->call),
                        GSIZE_TO_POINTER (work->status));
-  schedule (site, work->sender, &event, site->now_us + JL_SITE_HOP_US);
+  schedule (site, work->sender, &event, site->now_us + JL_SITE_LATENCY_US);
   g_hash_table_remove (site->works, GSIZE_TO_POINTER (finish->work));
 }
 
 static void
-carry_message (struct jl_site *site, const struct jl_effect_message *effect)
+execute_message (struct jl_site *site, const struct jl_effect_message *effect)
 {
   struct jl_event event = { .type = JL_EVENT_MESSAGE };
   uint32_t node = node_of (jl_member_id (effect->to));
   struct pending *pending
-      = schedule (site, node, &event, site->now_us + JL_SITE_HOP_US);
+      = schedule (site, node, &event, site->now_us + JL_SITE_LATENCY_US);
 
   pending->message = effect->message;
   pending->event.message = &pending->message;
 }
 
 static void
-carry_answer (struct jl_site *site,
-              uint32_t node,
-              const struct jl_effect_answer *answer)
+execute_answer (struct jl_site *site,
+                uint32_t node,
+                const struct jl_effect_answer *answer)
 {
   gpointer key = call_key (node, answer->call);
   uint32_t status
@@ -162,28 +165,30 @@
 }
 
 static void
-carry (struct jl_site *site, uint32_t node, const struct jl_effect *effect)
+execute_effect (struct jl_site *site,
+                uint32_t node,
+                const struct jl_effect *effect)
 {
   switch (effect->type)
     {
     case JL_EFFECT_SEND:
-      carry_send (site, node, &effect->send);
+      execute_send (site, node, &effect->send);
       break;
     case JL_EFFECT_FINISH:
-      carry_finish (site, &effect->finish);
+      execute_finish (site, &effect->finish);
       break;
     case JL_EFFECT_RUN:
       find_work (site, effect->run.work)->running = true;
       site->hooks.run (site, find_work (site, effect->run.work));
       break;
     case JL_EFFECT_ABORT:
-      jl_site_end (site, effect->abort_work, JL_RUN_ABORTED, 0, 0);
+      jl_site_end_run (site, effect->abort_work, JL_RUN_ABORTED, 0, 0);
       break;
     case JL_EFFECT_MESSAGE:
-      carry_message (site, effect->message);
+      execute_message (site, effect->message);
       break;
     case JL_EFFECT_ANSWER:
-      carry_answer (site, node, &effect->answer);
+      execute_answer (site, node, &effect->answer);
       break;
     default:
       break;
@@ -203,7 +208,7 @@
   jl_effects_clear (site->effects);
   jl_core_step (site->cores[node], event, site->effects);
   for (size_t i = 0; i < jl_effects_count (site->effects); i++)
-    carry (site, node, jl_effects_get (site->effects, i));
+    execute_effect (site, node, jl_effects_get (site->effects, i));
 }
 
 void
@@ -221,31 +226,31 @@
   event.announce.slots = slots;
   event.announce.connections = 100;
   event.announce.started = started;
-  for (uint64_t at_us = from_us; at_us <= end_us; at_us += ANNOUNCE_US)
+  for (uint64_t at_us = from_us; at_us <= end_us; at_us += ANNOUNCE_INTERVAL_US)
     schedule (site, node, &event, at_us);
 }
 
 void
-jl_site_end (struct jl_site *site,
-             uint64_t work,
-             enum jl_run_result result,
-             uint32_t status,
-             uint64_t delay_us)
+jl_site_end_run (struct jl_site *site,
+                 uint64_t work,
+                 enum jl_run_result result,
+                 uint32_t status,
+                 uint64_t delay_us)
 {
   struct jl_event event = { .type = JL_EVENT_WORK_RESULT };
-  struct jl_site_work *note = find_work (site, work);
+  struct jl_site_work *ended = find_work (site, work);
 
-  if (note == NULL)
+  if (ended == NULL)
     return;
-  note->status = status;
+  ended->status = status;
   event.work_result.work = work;
   event.work_result.result = result;
   event.work_result.status = status;
-  schedule (site, note->node, &event, site->now_us + delay_us);
+  schedule (site, ended->node, &event, site->now_us + delay_us);
 }
 
 void
-jl_site_crash (struct jl_site *site, uint32_t node, uint64_t delay_us)
+jl_site_crash_target (struct jl_site *site, uint32_t node, uint64_t delay_us)
 {
   GHashTableIter iterator;
   gpointer value;
@@ -256,13 +261,13 @@
       struct jl_site_work *work = value;
 
       if (work->node == node && work->running)
-        jl_site_end (site, work->number, JL_RUN_BROKEN, 0, delay_us);
+        jl_site_end_run (site, work->number, JL_RUN_BROKEN, 0, delay_us);
     }
 }
 
-/* The daemon whose timer is next. */
+/* Return: index of the daemon whose timer is due first. */
 static uint32_t
-next_timer (struct jl_site *site)
+next_timer_node (struct jl_site *site)
 {
   uint32_t next = 0;
 
@@ -273,16 +278,16 @@
   return next;
 }
 
-/* Lets one event or timer happen. Return: false when none is due. */
+/* Handles the next event or timer. Return: false if none is due by @end_us. */
 static bool
-advance (struct jl_site *site, uint64_t end_us)
+handle_next (struct jl_site *site, uint64_t end_us)
 {
   GSequenceIter *first = g_sequence_get_begin_iter (site->pending);
   struct pending *pending
       = g_sequence_iter_is_end (first) ? NULL : g_sequence_get (first);
   uint64_t pending_us = pending == NULL ? UINT64_MAX : pending->event.now_us;
   struct jl_event tick = { .type = JL_EVENT_TICK };
-  uint32_t timer = next_timer (site);
+  uint32_t timer = next_timer_node (site);
   uint64_t timer_us = jl_core_next_timer (site->cores[timer]);
 
   if (MIN (timer_us, pending_us) > end_us)
@@ -302,7 +307,7 @@
 void
 jl_site_run_until (struct jl_site *site, uint64_t end_us)
 {
-  while (advance (site, end_us))
+  while (handle_next (site, end_us))
     continue;
   site->now_us = MAX (site->now_us, end_us);
 }
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -2,25 +2,27 @@
 #define JACKDAWLADDER_TESTS_SITE_H
 
 /**
- * DOC: A few reducers that talk to each other in virtual time, for tests of
- * what they decide together. Nothing is lost or late; targets and callers are
- * callbacks of the test.
+ * DOC: Simulates several daemons in virtual time, for tests of how their
+ * reducers interact. The network loses nothing and has a constant latency; the
+ * test provides targets and callers as callbacks.
  */
 
 #include "jackdawladder/core.h"
 
 #define JL_SITE_NODE_MAX 16
-/* Time that anything takes from one daemon to another. */
-#define JL_SITE_HOP_US (1 * JL_USEC_PER_MSEC)
+/* Latency of work items, their results and messages between daemons. */
+#define JL_SITE_LATENCY_US (1 * JL_USEC_PER_MSEC)
 
 struct jl_site;
 
 /**
  * struct jl_site_work - a work item at its daemon
- * @node: the daemon of the target
- * @sender: the daemon that sent it
- * @call: its call there
- * @status: HTTP status of its answer
+ * @node: index of the daemon whose target runs it
+ * @sender: index of the daemon that sent it
+ * @number: number of the work item, unique in the site
+ * @call: number of the call at @sender
+ * @running: whether the target runs it
+ * @status: HTTP status of the answer
  */
 struct jl_site_work
 {
@@ -35,9 +37,10 @@
 };
 
 /**
- * struct jl_site_hooks - what the test does about runs and answers
- * @run: the target of @node is to run @work; see jl_site_end()
- * @answer: a call at @node has its final answer; @status is 0 unless done
+ * struct jl_site_hooks - callbacks of the test
+ * @run: starts @work at its target; jl_site_end_run() ends it
+ * @answer: takes the final answer of a call at @node; @status is 0 unless the
+ *          outcome is done
  */
 struct jl_site_hooks
 {
@@ -49,8 +52,11 @@
 };
 
 /**
- * struct jl_site - the daemons, and what is on its way
- * @context: of the test
+ * struct jl_site - the daemons and the scheduled events
+ * @context: data of the test
+ * @pending: scheduled events, in order of time
+ * @works: number to struct jl_site_work
+ * @statuses: call to the HTTP status of its last answer
  */
 struct jl_site
 {
@@ -64,12 +70,13 @@
   uint64_t next_order;
   uint64_t next_work;
   GSequence *pending;
-  GHashTable *works;    /* number to struct jl_site_work */
-  GHashTable *statuses; /* call to status of its last answer */
+  GHashTable *works;
+  GHashTable *statuses;
 };
 
 /**
- * jl_site_open - @count daemons with a configuration and each other as seeds
+ * jl_site_open - starts @count daemons with each other as seeds
+ * @document: configuration of all daemons
  */
 void jl_site_open (struct jl_site *site,
                    uint32_t count,
@@ -79,12 +86,13 @@
 void jl_site_close (struct jl_site *site);
 
 /**
- * jl_site_run_until - lets the time pass up to and including @end_us
+ * jl_site_run_until - handles all events and timers due up to and including
+ * @end_us
  */
 void jl_site_run_until (struct jl_site *site, uint64_t end_us);
 
 /**
- * jl_site_schedule - gives @event to a daemon at a time
+ * jl_site_schedule - schedules an event for a daemon at @at_us
  */
 void jl_site_schedule (struct jl_site *site,
                        uint32_t node,
@@ -92,8 +100,8 @@
                        uint64_t at_us);
 
 /**
- * jl_site_announce - announces a target once a second
- * @started: its life
+ * jl_site_announce - announces a target once a second until @end_us
+ * @started: number that identifies this start of the target
  */
 void jl_site_announce (struct jl_site *site,
                        uint32_t node,
@@ -104,17 +112,21 @@
                        uint64_t end_us);
 
 /**
- * jl_site_end - ends a run after @delay_us
+ * jl_site_end_run - ends the run of a work item after @delay_us
+ * @status: HTTP status of the answer
  */
-void jl_site_end (struct jl_site *site,
-                  uint64_t work,
-                  enum jl_run_result result,
-                  uint32_t status,
-                  uint64_t delay_us);
+void jl_site_end_run (struct jl_site *site,
+                      uint64_t work,
+                      enum jl_run_result result,
+                      uint32_t status,
+                      uint64_t delay_us);
 
 /**
- * jl_site_crash - breaks all runs at the target of @node after @delay_us
+ * jl_site_crash_target - crashes the target of @node
+ *
+ * All its runs end as broken after @delay_us.
  */
-void jl_site_crash (struct jl_site *site, uint32_t node, uint64_t delay_us);
+void
+jl_site_crash_target (struct jl_site *site, uint32_t node, uint64_t delay_us);
 
 #endif
--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -61,7 +61,7 @@
     return;
   world->crashes++;
   world->down_until_us[node] = back_us;
-  jl_site_crash (&world->site, node, CRASH_AFTER_US);
+  jl_site_crash_target (&world->site, node, CRASH_AFTER_US);
   jl_site_announce (&world->site, node, "front", SLOTS, ++world->lives[node],
                     back_us, END_US);
 }
@@ -72,11 +72,11 @@
   struct world *world = site->context;
 
   if (world->down_until_us[work->node] > site->now_us)
-    jl_site_end (site, work->number, JL_RUN_NOT_SENT, 0, 0);
+    jl_site_end_run (site, work->number, JL_RUN_NOT_SENT, 0, 0);
   else if (work->digest == POISON_DIGEST)
     crash (world, work->node);
   else
-    jl_site_end (site, work->number, JL_RUN_ANSWERED, 200, RUN_US);
+    jl_site_end_run (site, work->number, JL_RUN_ANSWERED, 200, RUN_US);
 }
 
 static void
--- a/tests/unit/feedback.c
+++ b/tests/unit/feedback.c
@@ -145,7 +145,8 @@
 
   if (work->node == DEEP || !world->calls_deep)
     {
-      jl_site_end (site, work->number, JL_RUN_ANSWERED, STATUS_OK, service_us);
+      jl_site_end_run (site, work->number, JL_RUN_ANSWERED, STATUS_OK,
+                       service_us);
       return;
     }
   call.call.call = work->number;
@@ -166,8 +167,8 @@
 
   if (node == FRONT)
     {
-      jl_site_end (site, answer->call, JL_RUN_ANSWERED,
-                   status == STATUS_OK ? STATUS_OK : STATUS_FAILED, 0);
+      jl_site_end_run (site, answer->call, JL_RUN_ANSWERED,
+                       status == STATUS_OK ? STATUS_OK : STATUS_FAILED, 0);
       return;
     }
   counts = &world->counts[g_array_index (world->kinds, uint32_t, answer->call)];
