--- a/tests/bench/member.c
+++ b/tests/bench/member.c
@@ -17,11 +17,13 @@
 
 /* Size of the IPv4 and UDP headers of a datagram. */
 #define HEADER_BYTES 28
+/* Virtual time of the phases of a measurement. */
 #define STARTUP_US (5 * JL_USEC_PER_SEC)
 #define SETTLE_US (5 * JL_USEC_PER_SEC)
 #define IDLE_US (30 * JL_USEC_PER_SEC)
-#define STEP_US (10 * JL_USEC_PER_MSEC)
 #define PARTITION_US (60 * JL_USEC_PER_SEC)
+/* Interval at which run_until() checks its condition, and its longest wait. */
+#define STEP_US (10 * JL_USEC_PER_MSEC)
 #define TIMEOUT_US (300 * JL_USEC_PER_SEC)
 /* Number of changes measured of each type; the slowest one is printed. */
 #define CHANGE_COUNT 8
--- a/tests/random/http.c
+++ b/tests/random/http.c
@@ -100,9 +100,9 @@
 
 /* Schedules the delivery of a reply to the sender of an exchange. */
 static void
-post_reply (struct exchange *exchange,
-            uint64_t delay_us,
-            const struct reply *reply)
+schedule_reply (struct exchange *exchange,
+                uint64_t delay_us,
+                const struct reply *reply)
 {
   struct world *world = exchange->from->world;
   struct reply *copy = g_new (struct reply, 1);
@@ -121,7 +121,7 @@
 {
   struct reply reply = { .result = { .result = result } };
 
-  post_reply (exchange, delay_us, &reply);
+  schedule_reply (exchange, delay_us, &reply);
 }
 
 /* Sends the answer of the receiver back to the sender, unless it is lost. */
@@ -141,10 +141,11 @@
       end_exchange (exchange, delay_us, JL_SEND_BROKEN);
       return;
     }
-  post_reply (exchange, delay_us, reply);
+  schedule_reply (exchange, delay_us, reply);
   reply->repeated = random_chance (world, 30);
   if (reply->repeated)
-    post_reply (exchange, delay_us + random_between (world, 1, 100000), reply);
+    schedule_reply (exchange, delay_us + random_between (world, 1, 100000),
+                    reply);
 }
 
 void
--- a/tests/random/main.c
+++ b/tests/random/main.c
@@ -95,7 +95,10 @@
 
 static sigjmp_buf broken_invariant;
 
-/* Returns to run_plan(); a violated JL_INVARIANT raises the signal. */
+/*
+ * Returns to run_plan(), which reports a failed run. A violated JL_INVARIANT
+ * raises the signal and would otherwise end the process.
+ */
 static void
 catch_trap (int signal G_GNUC_UNUSED)
 {
--- a/tests/random/observer.c
+++ b/tests/random/observer.c
@@ -143,7 +143,10 @@
     report_violation (world, "the answer of another sending");
 }
 
-/* Checks that an overload refusal didn't prefer a less important item. */
+/*
+ * Checks that no less important work item waits while one of @priority is
+ * refused for overload.
+ */
 static void
 check_importance (struct node *node, uint32_t priority)
 {
--- a/tests/random/world.h
+++ b/tests/random/world.h
@@ -376,6 +376,10 @@
 
 /* Declares the function that is called when an item is due. */
 #define ITEM_FN(name) void (*name) (struct world *, struct node *, void *)
+
+/**
+ * schedule - schedules a call of @fire that belongs to no daemon
+ */
 void schedule (struct world *world,
                uint64_t delay_us,
                ITEM_FN (fire),
@@ -460,11 +464,21 @@
 struct node *node_at (struct world *world, struct jl_endpoint endpoint);
 
 /* target.c */
+
+/**
+ * begin_run - runs a work item at the target of a daemon
+ *
+ * The target may refuse the connection instead.
+ */
 void begin_run (struct node *node,
                 struct edge_work *work,
                 const struct jl_effect_run *effect);
 void abort_run (struct node *node, struct run *run);
 void crash_target (struct node *node);
+
+/**
+ * child_answered - continues a run after the answer to its child call
+ */
 void child_answered (struct run *run,
                      struct sending *sending,
                      const struct jl_effect_answer *answer);
@@ -473,10 +487,19 @@
 void begin_request (struct world *world, const struct input *input);
 void answer_caller (struct sending *sending,
                     const struct jl_effect_answer *answer);
+
+/**
+ * new_sending - records that a request is sent; it starts as its own root
+ */
 struct sending *new_sending (struct world *world, struct request *request);
+
+/**
+ * find_request - returns the request with an identifier, creates it if needed
+ */
 struct request *find_request (struct world *world, uint64_t id, uint32_t kind);
 
-/* observer.c */
+/* observer.c: each observe function checks invariants. */
+
 /**
  * report_violation - fails the run, unless it has failed already
  */
