--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -1,8 +1,9 @@
 /**
- * DOC: Stand-in for callers: open-loop load, recorded with its answers.
+ * DOC: Stand-in for callers: an open-loop load generator that records requests
+ * and answers.
  *
- * Requests start at the times of a Poisson process, whatever becomes of the
- * ones before. One thread drives them through libcurl's multi interface.
+ * Requests start at the times of a Poisson process, whether or not earlier ones
+ * have ended. A single thread drives them with libcurl's multi interface.
  */
 
 #include "common.h"
@@ -21,13 +22,16 @@
 #define TICKET_MAX 256
 #define BUCKET_US (100 * USEC_PER_MSEC)
 #define BUCKET_MAX 6000
-#define TICKET_PATIENCE_US (5 * USEC_PER_SEC)
-#define TICKET_RETRY_US (50 * USEC_PER_MSEC)
+#define TICKET_TIMEOUT_US (5 * USEC_PER_SEC)
+#define TICKET_RETRY_DELAY_US (50 * USEC_PER_MSEC)
 
 /**
- * struct request - one request of a caller, over all its sendings
- * @due_us: when to send it next
- * @id: the same for all sendings that carry the same key or content
+ * struct request - one request of a caller, with all its sendings
+ * @start_us: time of the first sending, or of the first attempt to get a ticket
+ * @due_us: time of the next sending, while the request waits for it
+ * @sendings: number of sendings so far
+ * @id: identifier; all sendings with the same key or content share it
+ * @key: idempotency key, NULL if none
  */
 struct request
 {
@@ -41,8 +45,8 @@
 };
 
 /**
- * struct sending - one transfer
- * @is_ticket: it fetches a ticket for @request, which is sent afterwards
+ * struct sending - one HTTP transfer
+ * @is_ticket: the transfer fetches a ticket, with which @request is sent next
  */
 struct sending
 {
@@ -56,6 +60,17 @@
   struct answer answer;
 };
 
+/**
+ * struct caller - the options, then the state of the load generator
+ * @ignores_retry_after: requests are sent again after @resend_ms, also when an
+ *                       answer gives another time or forbids it
+ * @same_content: all sendings of a request share one identifier
+ * @wants_all: the exit status is 1 unless all requests got complete answers
+ * @budget_ms: value of Jl-Budget-Ms, 0 for no such header
+ * @idle: curl handles for reuse
+ * @tickets: unused tickets from earlier answers
+ * @goodput: complete answers in each interval of BUCKET_US
+ */
 struct caller
 {
   const char *name;
@@ -66,7 +81,7 @@
   double start_after;
   unsigned seed;
   unsigned resends;
-  bool hammers;
+  bool ignores_retry_after;
   bool same_content;
   bool wants_all;
   long resend_ms;
@@ -82,7 +97,7 @@
   GRand *random;
   CURLM *multi;
   GQueue idle;
-  GSequence *waiting; /* of struct request, by due_us */
+  GSequence *waiting; /* struct request, sorted by due_us */
   char *tickets[TICKET_MAX];
   unsigned ticket_count;
   unsigned in_progress;
@@ -120,7 +135,7 @@
 }
 
 static void
-sending_drop (struct sending *sending)
+sending_free (struct sending *sending)
 {
   curl_multi_remove_handle (caller.multi, sending->curl);
   g_queue_push_head (&caller.idle, sending->curl);
@@ -132,7 +147,7 @@
 }
 
 static void
-request_drop (struct request *request)
+request_free (struct request *request)
 {
   g_free (request->key);
   g_free (request);
@@ -208,9 +223,10 @@
                request->key == NULL ? "" : request->key, sending->entry);
 }
 
-/* Names a sending; one with a key or the same content keeps its name. */
+/* Sets the identifier of the next sending. A request that has a key, or the
+ * same content each time, keeps the identifier of its first sending. */
 static void
-name_sending (struct request *request)
+set_request_id (struct request *request)
 {
   request->sendings++;
   if (request->sendings == 1 || request->kind->key != KEY_NONE
@@ -241,7 +257,7 @@
         }
       request->key = caller.tickets[--caller.ticket_count];
     }
-  name_sending (request);
+  set_request_id (request);
   if (kind->key == KEY_OWN && request->key == NULL)
     request->key = g_strdup_printf ("own-%s", request->id);
   sending = sending_new (request);
@@ -270,14 +286,14 @@
 }
 
 static void
-wait_request (struct request *request, uint64_t due_us)
+enqueue_request (struct request *request, uint64_t due_us)
 {
   request->due_us = due_us;
   g_sequence_insert_sorted (caller.waiting, request, compare_due, NULL);
 }
 
 static void
-keep_ticket (const char *ticket)
+save_ticket (const char *ticket)
 {
   if (ticket[0] == '\0' || caller.ticket_count == TICKET_MAX)
     return;
@@ -308,7 +324,8 @@
       result == CURLE_OK ? "" : curl_easy_strerror (result));
 }
 
-/* Whether to send again, and when. */
+/* Whether to send the request again; sets the time for it. An outcome without
+ * a retry time means that another sending is of no use. */
 static bool
 plan_resend (const struct sending *sending, uint64_t *due_us)
 {
@@ -316,7 +333,7 @@
 
   if (sending->request->sendings > caller.resends)
     return false;
-  if (!caller.hammers && sending->answer.outcome[0] != '\0')
+  if (!caller.ignores_retry_after && sending->answer.outcome[0] != '\0')
     {
       if (sending->answer.retry_after_ms < 0)
         return false;
@@ -327,7 +344,7 @@
 }
 
 static void
-count_final (struct kind *kind, const struct sending *sending, bool good)
+count_result (struct kind *kind, const struct sending *sending, bool good)
 {
   uint64_t bucket = (clock_us () - caller.start_us) / BUCKET_US;
 
@@ -355,12 +372,12 @@
       request->key = g_strdup (sending->answer.ticket);
       send_request (request);
     }
-  else if (clock_us () < request->start_us + TICKET_PATIENCE_US)
-    wait_request (request, clock_us () + TICKET_RETRY_US);
+  else if (clock_us () < request->start_us + TICKET_TIMEOUT_US)
+    enqueue_request (request, clock_us () + TICKET_RETRY_DELAY_US);
   else
     {
       request->kind->skipped++;
-      request_drop (request);
+      request_free (request);
     }
 }
 
@@ -380,14 +397,14 @@
   own = strcmp (owner, request->id) == 0;
   good = whole && own && status == 200;
   record_answer (sending, result, status, whole, own);
-  keep_ticket (sending->answer.ticket);
+  save_ticket (sending->answer.ticket);
   if (!good && plan_resend (sending, &due_us))
     {
-      wait_request (request, due_us);
+      enqueue_request (request, due_us);
       return;
     }
-  count_final (request->kind, sending, good);
-  request_drop (request);
+  count_result (request->kind, sending, good);
+  request_free (request);
 }
 
 static void
@@ -409,7 +426,7 @@
         finish_ticket (sending);
       else
         finish_request (sending, result);
-      sending_drop (sending);
+      sending_free (sending);
     }
 }
 
@@ -432,7 +449,7 @@
   send_request (request);
 }
 
-/* Sends again what is due. */
+/* Sends the waiting requests that are due. */
 static void
 send_waiting (uint64_t now_us)
 {
@@ -449,7 +466,7 @@
 }
 
 static uint64_t
-draw_gap (void)
+draw_interval_us (void)
 {
   double seconds = -log (1 - g_rand_double (caller.random)) / caller.rate;
 
@@ -472,7 +489,7 @@
           && (caller.count_max == 0 || caller.last_number < caller.count_max))
         {
           start_request (now_us);
-          next_us += draw_gap ();
+          next_us += draw_interval_us ();
         }
       send_waiting (now_us);
       curl_multi_perform (caller.multi, &running);
@@ -507,23 +524,23 @@
 }
 
 static const struct argp_option options[] = {
-  { "entry", 'e', "ADDRESS:PORT", 0, "an entry port; several are allowed", 0 },
+  { "entry", 'e', "ADDRESS:PORT", 0, "entry port of a daemon; repeatable", 0 },
   { "kind", 'k', "KIND", 0, "NAME METHOD PATH [name=value]...", 0 },
   { "name", 'n', "NAME", 0, "name in the history", 0 },
   { "history", 'h', "FILE", 0, "where to record requests", 0 },
   { "csv", 'c', "FILE", 0, "where to write the goodput over time", 0 },
-  { "rate", 'r', "N", 0, "requests a second", 0 },
-  { "seconds", 's', "S", 0, "how long requests start", 0 },
-  { "count", 'C', "N", 0, "requests at most", 0 },
-  { "seed", 'S', "N", 0, "seed of times, kinds and entries", 0 },
-  { "resends", 'R', "N", 0, "how often a request is sent again", 0 },
-  { "resend-ms", 'M', "MS", 0, "pause before sending again", 0 },
-  { "hammer", 'H', 0, 0, "send again whatever Retry-After says", 0 },
-  { "all", 'a', 0, 0, "exit status 1 unless all are answered whole", 0 },
-  { "same-content", 'x', 0, 0, "send again with the same content", 0 },
-  { "timeout-ms", 't', "MS", 0, "how long to wait for an answer", 0 },
-  { "budget-ms", 'b', "MS", 0, "Jl-Budget-Ms of all requests", 0 },
-  { "in-progress", 'p', "N", 0, "requests in progress at most", 0 },
+  { "rate", 'r', "N", 0, "requests per second", 0 },
+  { "seconds", 's', "S", 0, "how long new requests are started", 0 },
+  { "count", 'C', "N", 0, "maximum number of requests", 0 },
+  { "seed", 'S', "N", 0, "seed of start times, kinds and entries", 0 },
+  { "resends", 'R', "N", 0, "maximum number of repetitions", 0 },
+  { "resend-ms", 'M', "MS", 0, "delay before a request is sent again", 0 },
+  { "hammer", 'H', 0, 0, "ignore Retry-After when sending again", 0 },
+  { "all", 'a', 0, 0, "exit with 1 unless all answers are complete", 0 },
+  { "same-content", 'x', 0, 0, "keep the content when sending again", 0 },
+  { "timeout-ms", 't', "MS", 0, "timeout of each sending", 0 },
+  { "budget-ms", 'b', "MS", 0, "value of Jl-Budget-Ms in all requests", 0 },
+  { "in-progress", 'p', "N", 0, "most requests in progress", 0 },
   { 0 },
 };
 
@@ -594,7 +611,7 @@
       caller.csv_path = argument;
       return 0;
     case 'H':
-      caller.hammers = true;
+      caller.ignores_retry_after = true;
       return 0;
     case 'a':
       caller.wants_all = true;
@@ -604,7 +621,7 @@
       return 0;
     case ARGP_KEY_END:
       if (caller.entry_count == 0 || caller.mix.count == 0)
-        argp_error (state, "--entry and --kind are needed");
+        argp_error (state, "--entry and --kind are required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
--- a/tests/standins/common.c
+++ b/tests/standins/common.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What the stand-ins share.
+ * DOC: Code shared by the stand-ins.
  */
 
 #include "common.h"
@@ -14,7 +14,7 @@
 #include <time.h>
 #include <unistd.h>
 
-#define FNV_BASIS UINT64_C (14695981039346656037)
+#define FNV_OFFSET_BASIS UINT64_C (14695981039346656037)
 #define FNV_PRIME UINT64_C (1099511628211)
 
 struct history
@@ -92,9 +92,9 @@
 }
 
 static uint64_t
-hash_bytes (const char *bytes, size_t size)
+fnv1a_hash (const char *bytes, size_t size)
 {
-  uint64_t hash = FNV_BASIS;
+  uint64_t hash = FNV_OFFSET_BASIS;
 
   for (size_t i = 0; i < size; i++)
     hash = (hash ^ (unsigned char)bytes[i]) * FNV_PRIME;
@@ -104,14 +104,14 @@
 GString *
 payload_new (const char *request_id, size_t size)
 {
-  uint64_t start = hash_bytes (request_id, strlen (request_id));
+  uint64_t start = fnv1a_hash (request_id, strlen (request_id));
   g_autoptr (GString) bytes = g_string_sized_new (size);
   GString *payload = g_string_sized_new (size + 128);
 
   for (size_t i = 0; i < size; i++)
     g_string_append_c (bytes, (char)('a' + (start + i * 7) % 26));
   g_string_printf (payload, "%s %zu %016" PRIx64 "\n", request_id, size,
-                   hash_bytes (bytes->str, size));
+                   fnv1a_hash (bytes->str, size));
   g_string_append_len (payload, bytes->str, (gssize)size);
   return payload;
 }
@@ -133,7 +133,7 @@
   end++;
   if ((size_t)(bytes + size - end) != length)
     return false;
-  return hash_bytes (end, length) == sum;
+  return fnv1a_hash (end, length) == sum;
 }
 
 struct mg_context *
@@ -213,29 +213,29 @@
 char *
 server_query (const struct mg_request_info *request,
               const char *name,
-              const char *otherwise)
+              const char *fallback)
 {
   const char *query = request->query_string;
   char value[512];
 
   if (query == NULL
       || mg_get_var (query, strlen (query), name, value, sizeof value) < 0)
-    return g_strdup (otherwise);
+    return g_strdup (fallback);
   return g_strdup (value);
 }
 
 double
 server_query_number (const struct mg_request_info *request,
                      const char *name,
-                     double otherwise)
+                     double fallback)
 {
   g_autofree char *text = server_query (request, name, NULL);
 
-  return text == NULL ? otherwise : g_ascii_strtod (text, NULL);
+  return text == NULL ? fallback : g_ascii_strtod (text, NULL);
 }
 
 static void
-stop_signals (sigset_t *signals)
+get_stop_signals (sigset_t *signals)
 {
   sigemptyset (signals);
   sigaddset (signals, SIGTERM);
@@ -247,7 +247,7 @@
 {
   sigset_t signals;
 
-  stop_signals (&signals);
+  get_stop_signals (&signals);
   pthread_sigmask (SIG_BLOCK, &signals, NULL);
   signal (SIGPIPE, SIG_IGN);
 }
@@ -258,6 +258,6 @@
   sigset_t signals;
   int number;
 
-  stop_signals (&signals);
+  get_stop_signals (&signals);
   sigwait (&signals, &number);
 }
--- a/tests/standins/parts/answer.c
+++ b/tests/standins/parts/answer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What a caller reads of an answer.
+ * DOC: Parsing of the answers that a caller receives.
  */
 
 #include "answer.h"
@@ -22,14 +22,14 @@
 }
 
 static size_t
-take_body (char *bytes, size_t size, size_t count, void *context)
+receive_body (char *bytes, size_t size, size_t count, void *context)
 {
   g_string_append_len (((struct answer *)context)->body, bytes,
                        (gssize)(size * count));
   return size * count;
 }
 
-/* The value of a header line called @name, NULL for other headers. */
+/* Returns the value of a header line if the header is @name, else NULL. */
 static char *
 header_value (const char *line, size_t size, const char *name)
 {
@@ -55,7 +55,7 @@
 }
 
 static size_t
-take_header (char *line, size_t size, size_t count, void *context)
+receive_header (char *line, size_t size, size_t count, void *context)
 {
   struct answer *answer = context;
   size_t length = size * count;
@@ -80,8 +80,8 @@
 void
 answer_receive (struct answer *answer, CURL *curl)
 {
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, receive_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, answer);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, receive_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, answer);
 }
--- a/tests/standins/parts/answer.h
+++ b/tests/standins/parts/answer.h
@@ -2,7 +2,7 @@
 #define STANDINS_ANSWER_H
 
 /**
- * DOC: What a caller reads of an answer.
+ * DOC: Parsing of the answers that a caller receives.
  */
 
 #include <curl/curl.h>
@@ -10,8 +10,15 @@
 
 /**
  * struct answer - body and outcome headers of one answer
- * @own_outcome: of this sending alone
- * @retry_after_ms: -1 when there was none
+ * @outcome: value of Jl-Outcome, the outcome of the request over all its
+ *           sendings
+ * @own_outcome: value of Jl-Sending, the outcome of this sending alone
+ * @reason: value of Jl-Reason
+ * @ticket: value of Jl-Ticket
+ * @retry_after_ms: value of Jl-Retry-After-Ms or else of Retry-After, converted
+ *                  to milliseconds; -1 if the answer has neither
+ *
+ * Strings are empty if the answer lacks their header.
  */
 struct answer
 {
@@ -24,10 +31,14 @@
 };
 
 void answer_init (struct answer *answer);
+
+/**
+ * answer_clear - frees the body
+ */
 void answer_clear (struct answer *answer);
 
 /**
- * answer_receive - has a transfer fill in the answer
+ * answer_receive - sets the callbacks of a transfer to fill in an answer
  */
 void answer_receive (struct answer *answer, CURL *curl);
 
--- a/tests/standins/parts/mix.c
+++ b/tests/standins/parts/mix.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Kinds of request that a caller sends, and their counts.
+ * DOC: The request kinds that a caller sends, and their result counters.
  */
 
 #include "mix.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 
 static bool
-set_kind_value (struct kind *kind, const char *name, const char *value)
+set_property (struct kind *kind, const char *name, const char *value)
 {
   double number = g_ascii_strtod (value, NULL);
 
@@ -35,20 +35,20 @@
   return true;
 }
 
-/* Reads the properties that follow a kind's name, method and path. */
+/* Parses the properties that follow a kind's name, method and path. */
 static bool
-set_kind_values (struct kind *kind, char **words, const char **problem)
+parse_properties (struct kind *kind, char **words, const char **problem)
 {
   for (; *words != NULL; words++)
     {
       char *equals = strchr (*words, '=');
 
-      *problem = "not name=value";
+      *problem = "property is not of the form name=value";
       if (equals == NULL)
         return false;
       *equals = '\0';
-      *problem = "no such property, or value";
-      if (!set_kind_value (kind, *words, equals + 1))
+      *problem = "unknown property or value";
+      if (!set_property (kind, *words, equals + 1))
         return false;
     }
   return true;
@@ -60,7 +60,7 @@
   g_auto (GStrv) words = g_strsplit (text, " ", 0);
   struct kind *kind = &mix->kinds[mix->count];
 
-  *problem = "want NAME METHOD PATH [name=value]...";
+  *problem = "expected NAME METHOD PATH [name=value]...";
   if (g_strv_length (words) < 3)
     return false;
   *problem = "too many kinds";
@@ -73,7 +73,7 @@
                          .weight = 1,
                          .idempotent = true,
                          .answer_bytes = 100 };
-  return set_kind_values (kind, words + 3, problem);
+  return parse_properties (kind, words + 3, problem);
 }
 
 struct kind *
--- a/tests/standins/parts/mix.h
+++ b/tests/standins/parts/mix.h
@@ -2,7 +2,7 @@
 #define STANDINS_MIX_H
 
 /**
- * DOC: Kinds of request that a caller sends, and their counts.
+ * DOC: The request kinds that a caller sends, and their result counters.
  */
 
 #include <stdbool.h>
@@ -13,7 +13,10 @@
 #define MIX_MAX 16
 
 /**
- * enum key_type - how a kind's requests are named
+ * enum key_type - which idempotency key the requests of a kind carry
+ * @KEY_NONE: none
+ * @KEY_TICKET: a ticket issued by a daemon
+ * @KEY_OWN: a key that the caller makes up
  */
 enum key_type
 {
@@ -23,7 +26,17 @@
 };
 
 /**
- * struct kind - one kind of request in the mix, and its counts
+ * struct kind - one request kind of the mix, and its result counters
+ * @weight: share of the requests, relative to the weights of the other kinds
+ * @importance: 0 for the most important class
+ * @crash: whether the requests crash the target that runs them
+ * @asked: requests drawn, with those skipped
+ * @done: requests that got their own complete answer with status 200
+ * @refused: requests whose last outcome was "not-run"
+ * @unknown: requests whose last answer had no outcome, or another one
+ * @failed: requests whose last outcome was "done" without a good answer
+ * @skipped: requests never sent, for lack of a ticket or since too many were
+ *           in progress
  */
 struct kind
 {
@@ -52,23 +65,28 @@
 };
 
 /**
- * mix_add - adds a kind from "NAME METHOD PATH [name=value]..."
- * @problem: receives what is wrong with @text
+ * mix_add - parses and adds a request kind
+ * @text: "NAME METHOD PATH [name=value]..."
+ * @problem: receives the error message if @text is malformed
+ *
+ * Return: false if @text is malformed or there are too many kinds.
  */
 bool mix_add (struct mix *mix, const char *text, const char **problem);
 
 /**
- * mix_draw - a kind at random, by weight
+ * mix_draw - returns a random kind; its probability is proportional to its
+ * weight
  */
 struct kind *mix_draw (struct mix *mix, GRand *random);
 
 /**
- * mix_print - prints the counts of each kind
+ * mix_print - prints the counters of each kind as a table
+ * @seconds: duration of the load, for the goodput
  */
 void mix_print (const struct mix *mix, double seconds);
 
 /**
- * mix_all_whole - whether all requests got their whole answers
+ * mix_all_whole - whether all requests got complete answers
  */
 bool mix_all_whole (const struct mix *mix);
 
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -1,8 +1,8 @@
 /**
  * DOC: Stand-in for the platform: a table service and an object store.
  *
- * Rows and objects lie in memory. Its faults are switched under /test/:
- * outages, delays, and writes that take effect while their answer is lost.
+ * Rows and objects are kept in memory. Requests under /test/ inject faults:
+ * outages, delays, and writes that take effect but whose answer is lost.
  */
 
 #include "common.h"
@@ -15,10 +15,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HANG_STEP_US (20 * USEC_PER_MSEC)
+#define HANG_POLL_US (20 * USEC_PER_MSEC)
 
 /**
- * enum outage - what a connection meets during an outage
+ * enum outage - how requests fail during an outage
+ * @OUTAGE_CLOSE: the connection is closed without an answer
+ * @OUTAGE_ERROR: the answer has status 503
+ * @OUTAGE_HANG: there is no answer until the outage ends, then the connection
+ *               is closed
  */
 enum outage
 {
@@ -28,6 +32,10 @@
   OUTAGE_HANG,
 };
 
+/**
+ * struct row - a row of the table, or an object
+ * @tag: number of the write that stored it, sent as ETag
+ */
 struct row
 {
   uint64_t tag;
@@ -41,12 +49,12 @@
   unsigned threads;
   struct history *history;
   GMutex lock;
-  GHashTable *rows; /* by path, table and objects alike */
+  GHashTable *rows; /* struct row of table and objects, by path */
   GRand *random;
   uint64_t last_tag;
   atomic_uint outage;
   atomic_uint delay_ms;
-  atomic_uint lose_percent;
+  atomic_uint lost_answers_percent;
   atomic_ullong reads;
   atomic_ullong writes;
 };
@@ -54,7 +62,7 @@
 static struct platform platform = { .threads = 64 };
 
 static void
-row_drop (gpointer data)
+row_free (gpointer data)
 {
   struct row *row = data;
 
@@ -106,10 +114,10 @@
   else if (strcmp (path, "/test/delay") == 0)
     platform.delay_ms = (unsigned)server_query_number (request, "ms", 0);
   else if (strcmp (path, "/test/lose-answers") == 0)
-    platform.lose_percent
+    platform.lost_answers_percent
         = (unsigned)server_query_number (request, "percent", 100);
   else
-    return reply_text (connection, 404, "no such control\n");
+    return reply_text (connection, 404, "unknown fault\n");
   history_add (platform.history,
                "\"t\":\"fault\",\"who\":\"platform\",\"what\":\"%s\","
                "\"query\":\"%s\"",
@@ -117,9 +125,10 @@
   return reply_text (connection, 200, "ok\n");
 }
 
-/* Meets the outage, if there is one; false when there is none. */
+/* Fails the request if there is an outage. Returns false if there is none, and
+ * sets the handler's return value otherwise. */
 static bool
-meet_outage (struct mg_connection *connection, int *status)
+fail_by_outage (struct mg_connection *connection, int *status)
 {
   enum outage outage = platform.outage;
 
@@ -131,12 +140,13 @@
       return true;
     }
   while (platform.outage == OUTAGE_HANG)
-    sleep_us (HANG_STEP_US);
+    sleep_us (HANG_POLL_US);
   *status = server_hang_up (connection);
   return true;
 }
 
-/* Whether a write may take place; with the lock held. */
+/* Whether the write's If-Match and If-None-Match allow it. The caller holds the
+ * lock. */
 static bool
 condition_holds (struct mg_connection *connection, const struct row *row)
 {
@@ -154,7 +164,8 @@
   return strcmp (match, "*") == 0 || strcmp (match, tag) == 0;
 }
 
-/* Stores a row; 0 when the condition did not hold. */
+/* Stores a row, whose value it takes over. Returns the tag, 0 if the write's
+ * condition does not hold. */
 static uint64_t
 store_row (struct mg_connection *connection, const char *path, GString *value)
 {
@@ -174,12 +185,12 @@
 }
 
 static bool
-loses_answer (void)
+draw_lost_answer (void)
 {
   g_autoptr (GMutexLocker) locker = g_mutex_locker_new (&platform.lock);
 
   return g_rand_int_range (platform.random, 0, 100)
-         < (int)platform.lose_percent;
+         < (int)platform.lost_answers_percent;
 }
 
 static int
@@ -189,14 +200,14 @@
   g_autofree char *header = g_strdup_printf ("ETag: \"%" PRIu64 "\"\r\n", tag);
 
   platform.writes++;
-  if (loses_answer ())
+  if (draw_lost_answer ())
     return server_hang_up (connection);
   if (tag == 0)
     return reply_text (connection, 412, "the condition does not hold\n");
   return server_reply (connection, 200, header, "", 0);
 }
 
-/* A copy of a row's value, NULL when there is no such row. */
+/* Returns a copy of a row's value and sets its tag, NULL if there is no row. */
 static GString *
 copy_row (const char *path, uint64_t *tag)
 {
@@ -258,7 +269,7 @@
     return handle_test (connection, request);
   if (platform.delay_ms > 0)
     sleep_us (platform.delay_ms * USEC_PER_MSEC);
-  if (meet_outage (connection, &status))
+  if (fail_by_outage (connection, &status))
     return status;
   if (strcmp (path, "/table") == 0)
     return handle_list (connection, request);
@@ -271,9 +282,9 @@
 }
 
 static const struct argp_option options[] = {
-  { "listen", 'l', "ADDRESS:PORT", 0, "where to take requests", 0 },
-  { "history", 'h', "FILE", 0, "where to record faults", 0 },
-  { "threads", 't', "N", 0, "connections at most", 0 },
+  { "listen", 'l', "ADDRESS:PORT", 0, "address to listen on", 0 },
+  { "history", 'h', "FILE", 0, "history file for faults", 0 },
+  { "threads", 't', "N", 0, "maximum number of connections", 0 },
   { 0 },
 };
 
@@ -293,7 +304,7 @@
       return 0;
     case ARGP_KEY_END:
       if (platform.listen == NULL)
-        argp_error (state, "--listen is missing");
+        argp_error (state, "--listen is required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -313,7 +324,7 @@
   platform.history = history_open (platform.history_path);
   platform.random = g_rand_new_with_seed (1);
   platform.rows
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, row_drop);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, row_free);
   server = server_start (platform.listen, platform.threads, NULL, handle);
   wait_for_stop ();
   platform.outage = OUTAGE_NONE;
--- a/tests/standins/target.c
+++ b/tests/standins/target.c
@@ -1,14 +1,15 @@
 /**
  * DOC: Stand-in for a target: one instance of a service.
  *
- * It announces itself to its daemon, works on requests in a bounded number of
- * slots, calls further services, and records each run before the work starts.
- * The request's identifier comes in the query string as "id", the place of
- * the call in its tree as "hop"; both go on to calls further down.
+ * The target announces itself to its daemon, handles requests in a bounded
+ * number of slots, makes downstream calls, and records each run before its work
+ * starts. The query string carries the request's identifier as "id" and the
+ * position of the call in its call tree as "hop"; downstream calls pass on
+ * both.
  */
 
 #include "common.h"
-#include "parts/further.h"
+#include "parts/downstream.h"
 
 #include <argp.h>
 #include <curl/curl.h>
@@ -26,10 +27,20 @@
 
 #define ANNOUNCE_PERIOD_US USEC_PER_SEC
 #define ANNOUNCE_TIMEOUT_MS 800
-#define DESCRIPTOR_MAX 4096
+#define FILE_DESCRIPTOR_MAX 4096
 #define CRASH_STATUS 70
-#define BUDGET_NONE_MS 60000
+#define BUDGET_DEFAULT_MS 60000
 
+/**
+ * struct target - the options, then the state of the target
+ * @connections: connection limit that the target announces
+ * @threads: number of server threads, one for each connection
+ * @service_ms: mean service time
+ * @cold_seconds: how long the target is slower after its start
+ * @cold_factor: factor of the service times while the target is cold
+ * @queues: whether requests wait for a slot instead of being refused
+ * @slow_factor: factor of the service times, set under /test/slow
+ */
 struct target
 {
   const char *listen;
@@ -46,7 +57,7 @@
   double cold_seconds;
   double cold_factor;
   bool queues;
-  struct further further;
+  struct downstream downstream;
 
   struct history *history;
   uint64_t started_us;
@@ -61,9 +72,9 @@
 
 /**
  * struct run - one request in progress
- * @socket: the connection that it came on, -1 if not known
- * @deadline_us: end of its budget
- * @cut: the connection was closed before the answer was sent
+ * @socket: descriptor of the request's connection, -1 if not known
+ * @deadline_us: time at which the request's budget ends
+ * @cut: whether the connection was closed before the answer was sent
  */
 struct run
 {
@@ -88,11 +99,12 @@
                                 .service = "service",
                                 .name = "target" };
 
-/* Our end of the connection with a given remote port. */
+/* Returns the descriptor of the connection from a remote port, -1 if none.
+ * CivetWeb has no function for it. */
 static int
 find_socket (int remote_port)
 {
-  for (int file = 3; file < DESCRIPTOR_MAX; file++)
+  for (int file = 3; file < FILE_DESCRIPTOR_MAX; file++)
     {
       struct sockaddr_in peer = { 0 };
       socklen_t size = sizeof peer;
@@ -112,16 +124,18 @@
   return -1;
 }
 
-/* A connection starts out without a known socket. */
+/* Marks the descriptor of a new connection as not yet looked up. */
 static int
-forget_socket (const struct mg_connection *connection G_GNUC_UNUSED,
-               void **data)
+init_connection (const struct mg_connection *connection G_GNUC_UNUSED,
+                 void **data)
 {
   *data = NULL;
   return 0;
 }
 
-/* The socket of a connection, found at its first request. */
+/* Returns the descriptor of a connection, which is looked up at the first
+ * request and cached in the connection's user data, plus one: 0 stands for not
+ * looked up. */
 static int
 connection_socket (struct mg_connection *connection)
 {
@@ -137,7 +151,8 @@
   return known - 1;
 }
 
-/* Sleeps while the client stays; false when it closed the connection. */
+/* Sleeps until the given time. Returns false, at once, if the client closes the
+ * connection. */
 static bool
 sleep_connected (struct run *run, uint64_t until_us)
 {
@@ -159,7 +174,7 @@
   return true;
 }
 
-/* How long the next request takes. */
+/* Returns the service time of the next request in microseconds. */
 static uint64_t
 draw_service_time (void)
 {
@@ -174,9 +189,10 @@
   return (uint64_t)(milliseconds * USEC_PER_MSEC);
 }
 
-/* Takes a slot; false when there is none and requests do not queue. */
+/* Acquires a slot. Returns false if none is free and requests do not queue, or
+ * if none gets free before the deadline. */
 static bool
-take_slot (const struct run *run)
+acquire_slot (const struct run *run)
 {
   g_autoptr (GMutexLocker) locker = g_mutex_locker_new (&target.lock);
 
@@ -193,7 +209,7 @@
 }
 
 static void
-free_slot (void)
+release_slot (void)
 {
   g_autoptr (GMutexLocker) locker = g_mutex_locker_new (&target.lock);
 
@@ -202,7 +218,7 @@
 }
 
 static int
-watch_client (void *context,
+check_client (void *context,
               curl_off_t a G_GNUC_UNUSED,
               curl_off_t b G_GNUC_UNUSED,
               curl_off_t c G_GNUC_UNUSED,
@@ -216,21 +232,23 @@
   return run->cut ? 1 : 0;
 }
 
-/* Makes one call further down; its HTTP status, 0 when there is no answer. */
+/* Makes a downstream call. Returns its HTTP status, 0 if there is no answer. */
 static long
-call_further (struct run *run, const struct then *then, unsigned ordinal)
+call_downstream (struct run *run,
+                 const struct downstream_call *call,
+                 unsigned ordinal)
 {
   const char *work = mg_get_header (run->connection, "Jl-Work");
   g_autofree char *url = g_strdup_printf (
-      "http://%s%s%cid=%s&hop=%s.%u", target.daemon, then->path,
-      strchr (then->path, '?') ? '&' : '?', run->id, run->hop, ordinal);
+      "http://%s%s%cid=%s&hop=%s.%u", target.daemon, call->path,
+      strchr (call->path, '?') ? '&' : '?', run->id, run->hop, ordinal);
   g_autofree char *work_header
       = g_strdup_printf ("Jl-Work: %s", work == NULL ? "" : work);
   g_autofree char *id_header = g_strdup_printf ("X-Request-Id: %s", run->id);
   g_autoptr (GString) body = payload_new (run->id, 64);
   struct curl_slist *headers = curl_slist_append (NULL, work_header);
   uint64_t now_us = clock_us ();
-  CURL *curl = further_curl ();
+  CURL *curl = downstream_curl ();
   CURLcode result;
   long status = 0;
 
@@ -246,13 +264,13 @@
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS,
                     (long)((run->deadline_us - now_us) / USEC_PER_MSEC) + 1);
   curl_easy_setopt (curl, CURLOPT_NOPROGRESS, 0L);
-  curl_easy_setopt (curl, CURLOPT_XFERINFOFUNCTION, watch_client);
+  curl_easy_setopt (curl, CURLOPT_XFERINFOFUNCTION, check_client);
   curl_easy_setopt (curl, CURLOPT_XFERINFODATA, run);
-  if (strcmp (then->method, "GET") != 0)
+  if (strcmp (call->method, "GET") != 0)
     {
       curl_easy_setopt (curl, CURLOPT_POSTFIELDSIZE, (long)body->len);
       curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body->str);
-      curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, then->method);
+      curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, call->method);
     }
   result = curl_easy_perform (curl);
   if (result == CURLE_OK)
@@ -261,20 +279,21 @@
   return status;
 }
 
-/* Makes all calls for a path, one after the other, up to the first failure. */
+/* Makes all downstream calls for the path, one after the other. Stops at the
+ * first one that fails and returns the status to answer with. */
 static long
-call_all_further (struct run *run)
+call_all_downstream (struct run *run)
 {
   unsigned ordinal = 0;
 
-  for (unsigned i = 0; i < target.further.count; i++)
+  for (unsigned i = 0; i < target.downstream.count; i++)
     {
-      const struct then *then = &target.further.thens[i];
+      const struct downstream_call *call = &target.downstream.calls[i];
       long status;
 
-      if (!g_str_has_prefix (run->path, then->prefix))
+      if (!g_str_has_prefix (run->path, call->prefix))
         continue;
-      status = call_further (run, then, ordinal++);
+      status = call_downstream (run, call, ordinal++);
       if (status != 200)
         return status == 503 ? 503 : 502;
     }
@@ -309,9 +328,11 @@
                run->cut ? "true" : "false");
 }
 
-/* Works for the service time, but not past the deadline. */
+/* Works for the service time, at most until the deadline, then makes the
+ * downstream calls. Returns the status, 0 if the client closed the connection.
+ */
 static long
-work (struct run *run)
+run_work (struct run *run)
 {
   uint64_t end_us = clock_us () + draw_service_time ();
 
@@ -319,11 +340,11 @@
     return 0;
   if (end_us > run->deadline_us)
     return 504;
-  return call_all_further (run);
+  return call_all_downstream (run);
 }
 
 static int
-answer (struct run *run, long status)
+send_answer (struct run *run, long status)
 {
   size_t size = (size_t)server_query_number (run->request, "bytes", 100);
   g_autoptr (GString) payload = NULL;
@@ -355,7 +376,8 @@
          || g_str_has_prefix (body->str, "crash");
 }
 
-/* Reads the body and records the start; false when the body was cut off. */
+/* Reads the body and records the start of the run. Returns false if the body is
+ * shorter than announced. */
 static bool
 start_run (struct run *run)
 {
@@ -369,7 +391,7 @@
     return false;
   run->number = next_run ();
   crash = is_crash (run, body);
-  /* Callers and targets give each request but GET a payload. */
+  /* Callers and targets send a payload with each request other than GET. */
   if (strcmp (run->request->request_method, "GET") == 0)
     whole = body->len == 0;
   else
@@ -381,7 +403,7 @@
   return true;
 }
 
-/* An answer of the target's own that the request was not run. */
+/* Answers that the request was not run for lack of a slot. */
 static int
 refuse (const struct run *run)
 {
@@ -396,16 +418,16 @@
   long status;
   int sent;
 
-  if (!take_slot (run))
+  if (!acquire_slot (run))
     return refuse (run);
   if (!start_run (run))
     {
-      free_slot ();
+      release_slot ();
       return server_hang_up (run->connection);
     }
-  status = work (run);
-  free_slot ();
-  sent = answer (run, status);
+  status = run_work (run);
+  release_slot ();
+  sent = send_answer (run, status);
   record_end (run, status);
   return sent;
 }
@@ -444,8 +466,8 @@
   g_autofree char *hop = history_text (raw_hop);
   struct run run
       = { .connection = connection, .request = request, .id = id, .hop = hop };
-  uint64_t budget_ms
-      = budget == NULL ? BUDGET_NONE_MS : g_ascii_strtoull (budget, NULL, 10);
+  uint64_t budget_ms = budget == NULL ? BUDGET_DEFAULT_MS
+                                      : g_ascii_strtoull (budget, NULL, 10);
 
   if (g_str_has_prefix (request->local_uri, "/test/"))
     return handle_test (connection, request);
@@ -455,12 +477,12 @@
   return serve (&run);
 }
 
-/* Posts to the daemon's local port; true when it was taken. */
+/* Posts to the daemon's local port. Returns whether the daemon accepted it. */
 static bool
 post_daemon (const char *path, const char *body)
 {
   g_autofree char *url = g_strdup_printf ("http://%s%s", target.daemon, path);
-  CURL *curl = further_curl ();
+  CURL *curl = downstream_curl ();
   long status = 0;
 
   curl_easy_setopt (curl, CURLOPT_URL, url);
@@ -494,7 +516,7 @@
 
 /* Waits until no request is in progress. */
 static void
-finish_work (void)
+wait_until_idle (void)
 {
   for (;;)
     {
@@ -508,21 +530,21 @@
 }
 
 static const struct argp_option options[] = {
-  { "listen", 'l', "ADDRESS:PORT", 0, "where to take requests", 0 },
-  { "daemon", 'd', "ADDRESS:PORT", 0, "local port of the own daemon", 0 },
-  { "service", 's', "NAME", 0, "service that it belongs to", 0 },
+  { "listen", 'l', "ADDRESS:PORT", 0, "address to listen on", 0 },
+  { "daemon", 'd', "ADDRESS:PORT", 0, "local port of the target's daemon", 0 },
+  { "service", 's', "NAME", 0, "service of the target", 0 },
   { "name", 'n', "NAME", 0, "name in the history", 0 },
-  { "history", 'h', "FILE", 0, "where to record runs", 0 },
-  { "slots", 'k', "N", 0, "requests in progress at most", 0 },
-  { "connections", 'c', "N", 0, "connections that it announces", 0 },
-  { "threads", 't', "N", 0, "connections that it takes", 0 },
+  { "history", 'h', "FILE", 0, "history file for runs", 0 },
+  { "slots", 'k', "N", 0, "most requests in progress", 0 },
+  { "connections", 'c', "N", 0, "connection limit announced to the daemon", 0 },
+  { "threads", 't', "N", 0, "maximum number of connections", 0 },
   { "service-ms", 'm', "MS", 0, "mean service time", 0 },
   { "exponential", 'e', 0, 0, "exponential service times", 0 },
-  { "seed", 'r', "N", 0, "seed of the service times", 0 },
-  { "cold-seconds", 'x', "S", 0, "how long it is slower at first", 0 },
-  { "cold-factor", 'f', "F", 0, "how much slower it is then", 0 },
-  { "queue", 'q', 0, 0, "queue requests beyond the slots", 0 },
-  { "then", 'w', "CALL", 0, "[PREFIX] METHOD PATH: a call further down", 0 },
+  { "seed", 'r', "N", 0, "random seed of the service times", 0 },
+  { "cold-seconds", 'x', "S", 0, "duration of the cold start", 0 },
+  { "cold-factor", 'f', "F", 0, "factor of service times when cold", 0 },
+  { "queue", 'q', 0, 0, "queue requests while no slot is free", 0 },
+  { "then", 'w', "CALL", 0, "[PREFIX] METHOD PATH: a downstream call", 0 },
   { 0 },
 };
 
@@ -588,12 +610,12 @@
       target.queues = true;
       return 0;
     case 'w':
-      if (!further_add (&target.further, argument))
+      if (!downstream_add (&target.downstream, argument))
         argp_error (state, "--then takes \"[PREFIX] METHOD PATH\"");
       return 0;
     case ARGP_KEY_END:
       if (target.listen == NULL || strchr (target.listen, ':') == NULL)
-        argp_error (state, "--listen is missing");
+        argp_error (state, "--listen ADDRESS:PORT is required");
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -606,7 +628,7 @@
   const struct argp argp
       = { options, parse_option, NULL, "Stand-in for a target.",
           NULL,    NULL,         NULL };
-  const struct mg_callbacks callbacks = { .init_connection = forget_socket };
+  const struct mg_callbacks callbacks = { .init_connection = init_connection };
   struct mg_context *server;
   GThread *announcer = NULL;
 
@@ -625,7 +647,7 @@
   target.left = true;
   if (announcer != NULL)
     g_thread_join (announcer);
-  finish_work ();
+  wait_until_idle ();
   mg_stop (server);
   history_add (target.history, "\"t\":\"stop\",\"who\":\"%s\",\"pid\":%d",
                target.name, getpid ());
