--- a/tests/history/check.py
+++ b/tests/history/check.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Judges histories of callers, targets and faults.
+"""Checks histories of callers, targets and faults against the rules.
 
-Prints a table for each kind of request, and each violation with the records
-that prove it. Exit status 1 when a rule was violated, 2 when there was
-nothing to judge.
+Prints a table of the request kinds, and each violation with the records that
+prove it. The exit status is 1 if a rule is violated, 2 if the histories have
+no records to check.
 """
 
 import argparse
@@ -15,11 +15,11 @@
 from rules import MSEC_US, RULES, SECOND_US, Options
 from table import print_table
 
-SHOWN_MAX = 5
+VIOLATIONS_SHOWN_MAX = 5
 
 
 def read_kinds(path):
-    """Kinds of a configuration document, which is JSON with comments."""
+    """Returns the kinds of a configuration document, JSON with comments."""
     with open(path, encoding="utf-8") as file:
         text = file.read()
     tokens = re.compile(r'"(?:\\.|[^"\\])*"|//[^\n]*|/\*.*?\*/', re.DOTALL)
@@ -47,27 +47,30 @@
                 print(f"    {json.dumps(part)}")
 
 
-def judge(history, options, names):
-    """Number of violations."""
+def check_rules(history, options, names):
+    """Prints the violations of the named rules and returns their number."""
     total = 0
     for name in names:
         found = list(RULES[name](history, options))
         total += len(found)
-        for text, records in found[:SHOWN_MAX]:
+        for text, records in found[:VIOLATIONS_SHOWN_MAX]:
             print_violation(name, text, records)
-        if len(found) > SHOWN_MAX:
-            print(f"violated {name}: {len(found) - SHOWN_MAX} more times")
+        if len(found) > VIOLATIONS_SHOWN_MAX:
+            print(f"violated {name}: {len(found) - VIOLATIONS_SHOWN_MAX} more times")
     return total
 
 
 def parse_arguments():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("files", nargs="+", help="histories, in any order")
-    parser.add_argument("--config", help="the configuration document in force")
-    parser.add_argument("--retries", type=int, default=2, help="tokens of a tree")
-    parser.add_argument("--window-ms", type=int, default=SECOND_US // MSEC_US)
-    parser.add_argument("--rule", action="append", choices=RULES, help="only these")
-    parser.add_argument("--quiet", action="store_true", help="no table")
+    parser.add_argument("files", nargs="+", help="history files, in any order")
+    parser.add_argument("--config", help="configuration document in force")
+    parser.add_argument("--retries", type=int, default=2,
+                        help="retry tokens of a call tree")
+    parser.add_argument("--window-ms", type=int, default=SECOND_US // MSEC_US,
+                        help="window of the rule importance-order")
+    parser.add_argument("--rule", action="append", choices=RULES,
+                        help="check only this rule; may be repeated")
+    parser.add_argument("--quiet", action="store_true", help="print no table")
     return parser.parse_args()
 
 
@@ -75,12 +78,12 @@
     arguments = parse_arguments()
     history = load(arguments.files)
     if not (history.runs or history.sendings or history.versions):
-        print("no records to judge")
+        print("no records to check")
         return 2
     if not arguments.quiet:
         print_table(history)
     options = make_options(arguments)
-    return 1 if judge(history, options, arguments.rule or RULES) else 0
+    return 1 if check_rules(history, options, arguments.rule or RULES) else 0
 
 
 if __name__ == "__main__":
--- a/tests/history/history.py
+++ b/tests/history/history.py
@@ -1,13 +1,15 @@
-"""Reads histories: one JSON object a line, times of one monotonic clock.
-
-Callers write "send" and "answer", targets "start", "run", "end", "leave" and
-"stop", tests and the platform's stand-in "fault", the watcher "version" and
-"applied". All files are read together, whoever wrote which line.
-
-A request's "id" is the same for all its sendings under one key, and for all
-calls further down; without a key each sending has an id of its own. "hop" is
-the place of a call in its tree: "0" for the request, "0.1" for the second
-call that it makes, and so on. A target writes "run" before it does any work.
+"""Reads histories: files with one JSON object per line.
+
+All times come from one monotonic clock, in microseconds. Field "t" is the type
+of a record. Callers write "send" and "answer"; targets write "start", "run",
+"end", "leave" and "stop"; tests and the platform's stand-in write "fault";
+watch.py writes "version", site.sh "applied". All files are merged: it does not
+matter which file holds a record.
+
+All sendings of a request under one key, and all downstream calls, share the
+request's "id". Without a key each sending has an id of its own. "hop" is the
+position of a call in its call tree: "0" for the request itself, "0.1" for the
+second call that it makes, and so on. A target writes "run" before any work.
 """
 
 import json
@@ -40,7 +42,7 @@
 
 @dataclass
 class Sending:
-    """One sending of a request by a caller, with its answer if there is one."""
+    """One sending of a request by a caller, and its answer if it got one."""
 
     send: dict
     answer: dict = None
@@ -55,7 +57,7 @@
 
     @property
     def good(self):
-        """Whether it got the whole answer to its own request."""
+        """Whether the caller got the complete answer to its own request."""
         answer = self.answer
         return bool(
             answer
@@ -68,7 +70,7 @@
 
 @dataclass
 class History:
-    """All that was recorded, in the order of time."""
+    """All records, each list in order of time."""
 
     runs: list = field(default_factory=list)
     sendings: list = field(default_factory=list)
@@ -86,7 +88,7 @@
 
 
 def group(items, key):
-    """Items by key, each list in the order of time."""
+    """Groups items by key; each group keeps the order of the items."""
     groups = {}
     for item in items:
         groups.setdefault(key(item), []).append(item)
@@ -94,7 +96,10 @@
 
 
 def read_lines(paths):
-    """All records of some files; a last line cut off by a crash is passed over."""
+    """Returns the records of all files in order of time.
+
+    Skips an incomplete last line: a crash can cut it off.
+    """
     records = []
     for path in paths:
         with open(path, encoding="utf-8") as file:
@@ -112,7 +117,7 @@
 
 
 def load(paths):
-    """The history in some files."""
+    """Loads a history from files."""
     history = History()
     runs = {}
     sendings = {}
--- a/tests/history/rules.py
+++ b/tests/history/rules.py
@@ -1,7 +1,8 @@
-"""What must always hold, each rule a function from a history to violations.
+"""The invariants of the system: rules that every history must satisfy.
 
-A rule says only what the histories prove. Where a caller gave up or a target
-was killed, the rule says so and judges what is left.
+Each rule is a generator that takes a history and yields violations, pairs of a
+text and the records that prove it. A rule reports only what the histories
+prove: it takes into account callers that gave up and targets that were killed.
 """
 
 from dataclasses import dataclass, field
@@ -14,19 +15,29 @@
 
 @dataclass
 class Options:
-    """Bounds, and what the configuration says of kinds."""
+    """Bounds of the rules, and the kinds of the configuration.
+
+    retries: retry tokens of a call tree
+    leave_bound_us: how long a target may get new work after it left
+    order_window_us: length of the windows of importance_order
+    order_requests_min: least number of requests of a kind in a window to be compared
+    order_share_tolerance: by how much the refused share of a more important kind may
+        exceed that of a less important one
+    config_bound_us: how long a version may take to reach all daemons
+    crashes_max: number of targets that one request may crash
+    """
 
     kinds: list = field(default_factory=list)
     retries: int = 2
     leave_bound_us: int = 3 * SECOND_US
     order_window_us: int = SECOND_US
-    order_least: int = 20
-    order_slack: float = 0.1
+    order_requests_min: int = 20
+    order_share_tolerance: float = 0.1
     config_bound_us: int = 15 * SECOND_US
-    crash_bound: int = 2
+    crashes_max: int = 2
 
     def kind_of(self, run):
-        """The first kind of the configuration that matches a run."""
+        """Returns the first kind of the configuration that matches a run."""
         for kind in self.kinds:
             method = kind.get("method", "*")
             if method in ("*", run.start["method"]) and run.start["path"].startswith(
@@ -36,38 +47,44 @@
         return None
 
 
-def chance_count(sendings):
-    """How many requests the sendings under one identifier count for."""
+def separate_requests(sendings):
+    """Returns how many separate requests the sendings of one identifier are.
+
+    Each sending without a key is a request of its own, those with a key are one.
+    """
     keyless = [sending for sending in sendings if sending.send["key"] == ""]
     return max(1, len(keyless))
 
 
 def is_idempotent(run, sendings, options):
-    """Whether a run may be repeated, by its caller or by the configuration."""
+    """Whether a run may be repeated.
+
+    Its caller decides for the request itself, the configuration for other calls.
+    """
     if run.hop == "0" and sendings:
         return sendings[0].send["idempotent"]
     kind = options.kind_of(run)
     return kind is None or kind["idempotent"]
 
 
-def places(history):
-    """Runs by request and place in its call tree."""
+def runs_by_position(history):
+    """Groups runs by request and position in the call tree."""
     return group(history.runs, lambda run: (run.request, run.hop))
 
 
 def at_most_once(history, options):
-    """A non-idempotent request runs at most once."""
+    """A request that is not idempotent runs at most once."""
     sendings = history.sendings_by_request()
-    for (request, hop), runs in places(history).items():
+    for (request, hop), runs in runs_by_position(history).items():
         sent = sendings.get(request, [])
         if is_idempotent(runs[0], sent, options):
             continue
-        if len(runs) > chance_count(sent):
+        if len(runs) > separate_requests(sent):
             yield f"{request} hop {hop} ran {len(runs)} times", runs
 
 
 def whole_own_answers(history, _options):
-    """Each answer is whole and the caller's own, and comes from a run."""
+    """Each answer is complete, belongs to its request, and comes from a run."""
     runs = history.runs_by_request()
     for sending in history.sendings:
         answer = sending.answer
@@ -84,20 +101,20 @@
 
 
 def whole_requests(history, _options):
-    """Targets get requests whole."""
+    """Targets get only complete requests."""
     for run in history.runs:
         if not run.start["body_whole"]:
             yield f"{run.request} hop {run.hop} was not whole or not its own", [run]
 
 
 def not_run_is_final(history, _options):
-    """A request that was answered as not run ran nowhere and will not."""
+    """A request answered as not run has not run and will not run."""
     all_runs = history.runs_by_request()
     for request, sendings in history.sendings_by_request().items():
         runs = all_runs.get(request, [])
         if not runs:
             continue
-        if chance_count(sendings) > 1:
+        if separate_requests(sendings) > 1:
             if all(sending.outcome == "not-run" for sending in sendings):
                 yield f"{request} ran although no sending ran", [*sendings, *runs]
             continue
@@ -112,20 +129,20 @@
 
 
 def bounded_runs(history, options):
-    """Retries of one request have a bound at each place of its call tree."""
+    """The number of runs is bounded at each position of a call tree."""
     sendings = history.sendings_by_request()
-    for (request, hop), runs in places(history).items():
-        bound = (1 + options.retries) * chance_count(sendings.get(request, []))
+    for (request, hop), runs in runs_by_position(history).items():
+        bound = (1 + options.retries) * separate_requests(sendings.get(request, []))
         if len(runs) > bound:
             yield f"{request} hop {hop} ran {len(runs)} times, at most {bound}", runs
 
 
 def bounded_crashes(history, options):
-    """A request that crashes targets crashes few of them."""
+    """A request that crashes targets crashes a bounded number of them."""
     crashes = [run for run in history.runs if run.start.get("crash")]
     for request, runs in group(crashes, lambda run: run.request).items():
         targets = {run.process for run in runs}
-        if len(targets) > options.crash_bound:
+        if len(targets) > options.crashes_max:
             yield f"{request} crashed {len(targets)} targets", runs
 
 
@@ -139,7 +156,7 @@
 
 
 def services_of_kinds(history):
-    """Services at which requests of each kind ran, at any depth."""
+    """Returns for each kind the services at which its requests ran, at any depth."""
     kinds = {sending.request: sending.send["kind"] for sending in history.sendings}
     services = {}
     for run in history.runs:
@@ -149,12 +166,13 @@
 
 
 def importance_order(history, options):
-    """Important work is refused only while less important work is refused.
+    """More important requests are refused only if less important ones are.
 
-    Windows overlap by half. In each, a kind may be refused for overload only
-    if each less important kind that needs all of its services was refused,
-    too, and not in a smaller share. Kinds that need fewer services may go on:
-    refusing them need not free what the refused kind lacked.
+    Windows overlap by half. In each window, a kind may be refused for overload
+    only if every less important kind that needs all of its services was refused
+    too, with at least the same share. Kinds that need only some of the services
+    may still be served: refusing them need not free the capacity that the
+    refused kind lacked.
     """
     services = services_of_kinds(history)
     answered = [sending for sending in history.sendings if sending.answer]
@@ -162,19 +180,19 @@
     halves = group(answered, lambda sending: sending.send["at"] // half)
     for number in sorted(halves):
         window = halves[number] + halves.get(number + 1, [])
-        yield from judge_window(window, services, options)
+        yield from check_window(window, services, options)
 
 
 def share_of(predicate, sendings):
     return sum(map(predicate, sendings)) / len(sendings)
 
 
-def gave_way(sending):
-    """Whether it failed, by a refusal of its own or of a call further down."""
+def is_failed(sending):
+    """Whether a sending failed, by its own refusal or that of a downstream call."""
     return not sending.good
 
 
-def judge_window(window, services, options):
+def check_window(window, services, options):
     kinds = group(window, lambda sending: sending.send["kind"])
     for kind, sendings in sorted(kinds.items()):
         shed = [sending for sending in sendings if is_shed(sending)]
@@ -183,17 +201,17 @@
         for other, others in kinds.items():
             if (
                 others[0].send["importance"] <= sendings[0].send["importance"]
-                or len(others) < options.order_least
+                or len(others) < options.order_requests_min
                 or not services.get(other, set()) >= services[kind]
             ):
                 continue
             share = (
                 share_of(is_shed, sendings)
-                if len(sendings) >= options.order_least
+                if len(sendings) >= options.order_requests_min
                 else 0
             )
-            other_share = share_of(gave_way, others)
-            if other_share == 0 or share > other_share + options.order_slack:
+            other_share = share_of(is_failed, others)
+            if other_share == 0 or share > other_share + options.order_share_tolerance:
                 yield (
                     f"{kind} was refused ({share:.0%}) "
                     f"while {other} was less ({other_share:.0%})",
@@ -202,7 +220,7 @@
 
 
 def nothing_after_leaving(history, options):
-    """A target that left gets no new work after a few seconds."""
+    """A target that left gets no new work once leave_bound_us have passed."""
     left = {(leave["who"], leave["pid"]): leave["at"] for leave in history.leaves}
     for run in history.runs:
         at = left.get(run.process)
@@ -212,7 +230,7 @@
 
 
 def planned_stops(history):
-    """Time of the planned stop of each process that had one, by name."""
+    """Returns the time of each planned stop, by the name of the process."""
     stops = {fault["who"]: fault["at"] for fault in history.faults
              if fault["what"] == "drain"}
     for leave in history.leaves:
@@ -220,8 +238,8 @@
     return stops
 
 
-def given_up(sendings, at_us):
-    """Whether a caller had stopped waiting by some time."""
+def timed_out(sendings, at_us):
+    """Whether a caller had timed out at the given time."""
     return any(
         sending.answer
         and "imeout" in sending.answer["error"]
@@ -231,7 +249,7 @@
 
 
 def drain_cuts_nothing(history, _options):
-    """A planned stop cuts off no request in progress."""
+    """A planned stop interrupts no request in progress."""
     stops = planned_stops(history)
     killed = {fault["who"] for fault in history.faults if fault["what"] == "kill"}
     all_sendings = history.sendings_by_request()
@@ -244,37 +262,37 @@
             continue
         if run.end is None:
             yield f"{run.request} at {who} never ended", [run]
-        elif run.end["cut"] and not given_up(sendings, run.end["at"]):
+        elif run.end["cut"] and not timed_out(sendings, run.end["at"]):
             yield f"{run.request} at {who} was cut off", [run]
     yield from drain_answers(history, killed)
 
 
-# What libcurl says when no whole request can have been taken.
-NOT_TAKEN_ERRORS = ("connect", "Failed sending")
+# Parts of libcurl's messages for errors before a whole request was received.
+NOT_RECEIVED_ERRORS = ("connect", "Failed sending")
 
 
-def lost_its_answer(sending):
-    """Whether a request was taken, and its connection closed unanswered."""
+def lost_answer(sending):
+    """Whether a connection was closed after the request, without an answer."""
     error = sending.answer["error"] if sending.answer else ""
     return error != "" and not any(
-        part in error for part in (*NOT_TAKEN_ERRORS, "imeout")
+        part in error for part in (*NOT_RECEIVED_ERRORS, "imeout")
     )
 
 
 def drain_answers(history, killed):
-    """What a daemon took before or during its planned stop, it answers."""
+    """A daemon answers requests accepted before or during its planned stop."""
     drains = {fault["entry"]: fault for fault in history.faults
               if fault["what"] == "drain" and fault["who"] not in killed}
     for sending in history.sendings:
         drain = drains.get(sending.send["entry"])
-        if drain is None or not lost_its_answer(sending):
+        if drain is None or not lost_answer(sending):
             continue
         if sending.answer["at"] > drain["at"]:
             yield f"{sending.request} lost its answer in a planned stop", [sending]
 
 
 def config_never_reverts(history, options):
-    """Versions go up only, one text each, and get everywhere in time."""
+    """Versions never decrease, have one text each, and reach all daemons in time."""
     lives = group(history.versions, lambda seen: (seen["who"], seen["life"]))
     digests = {}
     for (who, _), samples in lives.items():
@@ -293,6 +311,11 @@
 
 
 def late_version(sample, life_start, history, options):
+    """A daemon has an applied version no later than config_bound_us.
+
+    The time starts with the apply, or with the first sample of the daemon's
+    life if that is later.
+    """
     for applied in history.applied:
         since = max(applied["at"], life_start) + options.config_bound_us
         if sample["at"] > since and sample["version"] < applied["version"]:
--- a/tests/history/table.py
+++ b/tests/history/table.py
@@ -1,17 +1,17 @@
-"""Figures of a history: outcomes for each kind, goodput, recovery time."""
+"""Statistics of a history: outcomes of each kind, goodput, recovery time."""
 
 from history import group
 from rules import MSEC_US, SECOND_US, is_idempotent, Options
 
 BUCKET_US = 100 * MSEC_US
-SMOOTHED_BUCKETS = 5
-RECOVERED_SHARE = 0.9
+AVERAGE_BUCKETS = 5
+RECOVERED_RATIO = 0.9
 
 COLUMNS = ("asked", "whole", "refused", "unknown", "failed", "doubled")
 
 
 def final_outcome(sendings):
-    """What a caller had at last, over all sendings of a request."""
+    """Returns the final result of a request over all its sendings."""
     if any(sending.good for sending in sendings):
         return "whole"
     outcome = sendings[-1].outcome
@@ -19,7 +19,7 @@
 
 
 def count_doubled(history):
-    """Requests of each kind that are not idempotent and ran twice."""
+    """Counts for each kind the non-idempotent requests that ran more than once."""
     runs = history.runs_by_request()
     doubled = {}
     for request, sendings in history.sendings_by_request().items():
@@ -31,7 +31,11 @@
 
 
 def goodput_buckets(history):
-    """Whole answers in each bucket of time since the first sending."""
+    """Counts complete answers in intervals of BUCKET_US.
+
+    Returns the time of the first sending, at which the buckets start, and the
+    buckets.
+    """
     start = history.sendings[0].send["at"]
     end = max(s.answer["at"] for s in history.sendings if s.answer)
     buckets = [0] * ((end - start) // BUCKET_US + 1)
@@ -41,26 +45,27 @@
     return start, buckets
 
 
-def smoothed(buckets):
-    """Mean of each run of neighbouring buckets."""
+def moving_average(buckets):
+    """Returns the moving average of the buckets."""
     return [
-        sum(buckets[n : n + SMOOTHED_BUCKETS]) / SMOOTHED_BUCKETS
-        for n in range(len(buckets) - SMOOTHED_BUCKETS + 1)
+        sum(buckets[n : n + AVERAGE_BUCKETS]) / AVERAGE_BUCKETS
+        for n in range(len(buckets) - AVERAGE_BUCKETS + 1)
     ]
 
 
 def recovery_us(history, fault, until_us):
-    """How long after a fault goodput was back to its level before it.
+    """Returns the time from a fault until goodput is back at its level before.
 
-    Zero when it never fell, None when it was not back by until_us.
+    The result is 0 if goodput never fell, None if it was not back by until_us or
+    the history is too short to tell.
     """
     start, buckets = goodput_buckets(history)
     at = (fault["at"] - start) // BUCKET_US
-    before = buckets[max(0, at - 2 * SMOOTHED_BUCKETS) : at]
-    after = smoothed(buckets[at : (until_us - start) // BUCKET_US])
+    before = buckets[max(0, at - 2 * AVERAGE_BUCKETS) : at]
+    after = moving_average(buckets[at : (until_us - start) // BUCKET_US])
     if not before or not after:
         return None
-    wanted = RECOVERED_SHARE * sum(before) / len(before)
+    wanted = RECOVERED_RATIO * sum(before) / len(before)
     low = [number for number, mean in enumerate(after) if mean < wanted]
     if not low:
         return 0
@@ -69,7 +74,7 @@
 
 
 def count_kinds(history):
-    """Counts of each kind, by column."""
+    """Returns the counters of each kind, by column."""
     doubled = count_doubled(history)
     requests = group(
         history.sendings, lambda sending: (sending.send["who"], sending.send["request"])
@@ -85,7 +90,7 @@
 
 
 def wasted_runs(history):
-    """Runs for sendings that got no whole answer, at any depth."""
+    """Counts runs, at any depth, for sendings that got no complete answer."""
     good = {sending.request for sending in history.sendings if sending.good}
     sent = {sending.request for sending in history.sendings}
     failed = sent - good
@@ -93,7 +98,7 @@
 
 
 def print_table(history):
-    """Prints the figures."""
+    """Prints the statistics."""
     if not any(sending.answer for sending in history.sendings):
         return
     _, buckets = goodput_buckets(history)
--- a/tests/history/test_rules.py
+++ b/tests/history/test_rules.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Tests of the rules: each must fail on a history that breaks it.
+"""Tests of the rules: each rule must report a history that violates it.
 
-Each case is a small made-up history and the set of rules that it breaks.
+Each case is a small made-up history and the set of rules that it violates.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 def case(*broken):
-    """Registers a function that makes a history which breaks some rules."""
+    """Registers a function that makes a history violating the given rules."""
 
     def register(function):
         CASES[function.__name__.replace("_", "-")] = function, set(broken)
@@ -73,7 +73,7 @@
 
 
 def exchange(at, identifier, number=1, **values):
-    """A request that ran once and was answered."""
+    """Returns the records of a request that ran once and was answered."""
     return [send(at, identifier, request=number, **values),
             run(at + 1, identifier, number), end(at + 2, identifier, number),
             answer(at + 3, identifier, request=number)]
@@ -184,7 +184,11 @@
 
 
 def overload(shed, services=("listings",) * 3):
-    """100 requests of each class; shed gives how many of them are refused."""
+    """Returns a history with 100 requests in each of three classes.
+
+    shed holds the number of refused requests of each class, services the
+    service that each class needs.
+    """
     records = []
     for importance, count in enumerate(shed):
         values = {"importance": importance, "kind": f"kind-{importance}"}
@@ -304,7 +308,7 @@
     return [version(0, 2), version(1, 0, life=2), version(2, 2, life=2)]
 
 
-def broken_rules(records):
+def violated_rules(records):
     with tempfile.NamedTemporaryFile("w", suffix=".jsonl") as file:
         for record in records:
             file.write(json.dumps(record) + "\n")
@@ -318,13 +322,13 @@
     failed = 0
     covered = set()
     for name, (make, broken) in CASES.items():
-        found = broken_rules(make())
+        found = violated_rules(make())
         covered |= broken
         if found == broken:
             print(f"ok history-{name}")
         else:
             failed += 1
-            print(f"  broken: {sorted(broken)}, found: {sorted(found)}")
+            print(f"  expected: {sorted(broken)}, reported: {sorted(found)}")
             print(f"not ok history-{name}")
     if covered != set(RULES):
         failed += 1
--- a/tests/history/watch.py
+++ b/tests/history/watch.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Samples the configuration of daemons into a history until it is stopped."""
+"""Records the configuration versions of daemons in a history, until stopped."""
 
 import argparse
 import hashlib
@@ -7,11 +7,11 @@
 import json
 import time
 
-TIMEOUT_S = 0.5
+REQUEST_TIMEOUT_S = 0.5
 
 
 def get(address, path):
-    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
+    connection = http.client.HTTPConnection(address, timeout=REQUEST_TIMEOUT_S)
     try:
         connection.request("GET", path)
         answer = connection.getresponse()
@@ -21,7 +21,7 @@
 
 
 def sample(name, address):
-    """A "version" record; None when the daemon cannot be reached."""
+    """Returns a "version" record, None if the daemon cannot be reached."""
     try:
         _, status = get(address, "/jl/status")
         answer, text = get(address, "/jl/config")
@@ -40,9 +40,10 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--history", required=True)
-    parser.add_argument("--interval-ms", type=int, default=200)
-    parser.add_argument("--once", action="store_true")
+    parser.add_argument("--history", required=True, help="history file")
+    parser.add_argument("--interval-ms", type=int, default=200,
+                        help="time between two samples")
+    parser.add_argument("--once", action="store_true", help="take one sample and exit")
     parser.add_argument("daemons", nargs="+", metavar="NAME=ADDRESS:PORT")
     arguments = parser.parse_args()
     daemons = [item.split("=", 1) for item in arguments.daemons]
