--- a/tests/cases/report.py
+++ b/tests/cases/report.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Figures and plots of measured cases.
+"""Statistics and plots of measured cases.
 
-  report.py figures DIRECTORY...          a line of figures for each run
+  report.py figures DIRECTORY...          a line of statistics for each run
   report.py plot OUT.svg DIRECTORY...     goodput and refusals over time
 
-A whole request is one whose answer was done, whole, its own, and of a status
-below 400. Its time is that of its last answer. Times are monotonic.
+A request is whole if it got its own, complete answer with outcome "done" and a
+status below 400. The time of that answer is the request's time. All times come
+from the monotonic clock.
 """
 
 import collections
@@ -16,15 +17,16 @@
 
 BUCKET_US = 100_000
 SECOND_US = 1_000_000
-# Recovered: this share of the goodput before the fault, over this long.
-RECOVERED_SHARE = 0.9
-RECOVERED_US = 500_000
-PLOT_WIDTH = 900
-PLOT_HEIGHT = 260
+# Goodput has recovered once its mean over RECOVERED_WINDOW_US reaches this ratio
+# of its mean before the fault.
+RECOVERED_RATIO = 0.9
+RECOVERED_WINDOW_US = 500_000
+PLOT_WIDTH_PX = 900
+PLOT_HEIGHT_PX = 260
 
 
 class Run:
-    """One run of one case, from its histories."""
+    """The records of one run of a case, from its histories."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -34,10 +36,10 @@
         self.marks = {}
         for path in sorted(glob.glob(os.path.join(directory, "*.jsonl"))):
             for record in read_lines(path):
-                self.take(record)
+                self.add(record)
         self.first_us = min((s["at"] for s in self.sends), default=0)
 
-    def take(self, record):
+    def add(self, record):
         kind = record.get("t")
         if kind == "send":
             self.sends.append(record)
@@ -48,15 +50,15 @@
         elif kind == "fault" and record["who"] == "case":
             self.marks[record["what"]] = record["at"]
 
-    def times_of_whole(self, who=None):
-        return [a["at"] for a in self.answers if is_whole(a) and fits(a, who)]
+    def whole_times(self, who=None):
+        return [a["at"] for a in self.answers if is_whole(a) and is_from(a, who)]
 
     def goodput(self, begin_us, end_us):
-        count = sum(begin_us <= at < end_us for at in self.times_of_whole())
+        count = sum(begin_us <= at < end_us for at in self.whole_times())
         return count * SECOND_US / max(end_us - begin_us, 1)
 
     def share_done(self, kind, begin_us, end_us):
-        """Requests of a kind started in a time, and the share answered whole."""
+        """Returns how many requests of a kind started, and the share that is whole."""
         names = {
             (s["who"], s["request"])
             for s in self.sends
@@ -68,19 +70,22 @@
         return len(names), len(names & whole) / max(len(names), 1)
 
     def wasted_share(self):
-        """Share of the runs that belong to a request not answered whole."""
+        """Returns the share of target runs whose request is not whole."""
         whole = {a["id"] for a in self.answers if is_whole(a)}
         wasted = sum(run["id"] not in whole for run in self.runs)
         return wasted / max(len(self.runs), 1)
 
     def recovery_s(self):
-        """Time from the end of the fault until goodput is back for good."""
+        """Returns the time from the end of the fault until goodput has recovered.
+
+        The result is None if goodput does not recover before the last sending.
+        """
         begin_us, end_us = self.marks["begin"], self.marks["end"]
         before = self.goodput(begin_us - 3 * SECOND_US, begin_us)
         last_us = max(s["at"] for s in self.sends)
         at = end_us
-        while at + RECOVERED_US <= last_us:
-            if self.goodput(at, at + RECOVERED_US) >= RECOVERED_SHARE * before:
+        while at + RECOVERED_WINDOW_US <= last_us:
+            if self.goodput(at, at + RECOVERED_WINDOW_US) >= RECOVERED_RATIO * before:
                 return (at - end_us) / SECOND_US
             at += BUCKET_US
         return None
@@ -104,7 +109,7 @@
     )
 
 
-def fits(record, who):
+def is_from(record, who):
     return who is None or record["who"] == who
 
 
@@ -152,7 +157,7 @@
 
 def polyline(values, top, colour, x_step):
     points = " ".join(
-        f"{40 + i * x_step:.1f},{20 + PLOT_HEIGHT * (1 - v / top):.1f}"
+        f"{40 + i * x_step:.1f},{20 + PLOT_HEIGHT_PX * (1 - v / top):.1f}"
         for i, v in enumerate(values)
     )
     return f'<polyline fill="none" stroke="{colour}" points="{points}"/>'
@@ -164,7 +169,7 @@
         if answer["outcome"] == "not-run":
             refused[answer["kind"]].append(answer["at"])
     name = os.path.basename(run.directory)
-    result = [(f"{name}: whole", run.times_of_whole())]
+    result = [(f"{name}: whole", run.whole_times())]
     for kind in ("reserve", "browse"):
         result.append((f"{name}: {kind} refused", refused[kind]))
     return [(n, buckets(t, run.first_us, count)) for n, t in result]
@@ -178,26 +183,26 @@
     )
     series = [s for run in runs for s in series_of(run, count)]
     top = max(max(values) for _, values in series) or 1
-    x_step = PLOT_WIDTH / max(count, 1)
+    x_step = PLOT_WIDTH_PX / max(count, 1)
     parts = [
-        f'<svg xmlns="http://www.w3.org/2000/svg" width="{PLOT_WIDTH + 60}" '
-        f'height="{PLOT_HEIGHT + 60 + 16 * len(series)}" '
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{PLOT_WIDTH_PX + 60}" '
+        f'height="{PLOT_HEIGHT_PX + 60 + 16 * len(series)}" '
         'font-family="sans-serif" font-size="11">',
-        f'<rect x="40" y="20" width="{PLOT_WIDTH}" height="{PLOT_HEIGHT}" '
+        f'<rect x="40" y="20" width="{PLOT_WIDTH_PX}" height="{PLOT_HEIGHT_PX}" '
         'fill="none" stroke="#ccc"/>',
         f'<text x="2" y="28">{top}/s</text><text x="20" '
-        f'y="{24 + PLOT_HEIGHT}">0</text>',
+        f'y="{24 + PLOT_HEIGHT_PX}">0</text>',
     ]
     for what, at in runs[0].marks.items():
         x = 40 + (at - runs[0].first_us) / BUCKET_US * x_step
         parts.append(
             f'<line x1="{x:.1f}" x2="{x:.1f}" y1="20" '
-            f'y2="{20 + PLOT_HEIGHT}" stroke="#bbb"/>'
+            f'y2="{20 + PLOT_HEIGHT_PX}" stroke="#bbb"/>'
             f'<text x="{x + 2:.1f}" y="16">{what}</text>'
         )
     for i, (name, values) in enumerate(series):
         colour = colours[i % len(colours)]
-        y = PLOT_HEIGHT + 44 + 16 * i
+        y = PLOT_HEIGHT_PX + 44 + 16 * i
         parts.append(polyline(values, top, colour, x_step))
         parts.append(f'<text x="40" y="{y}" fill="{colour}">{name}</text>')
     parts.append("</svg>")
--- a/tests/site.sh
+++ b/tests/site.sh
@@ -1,20 +1,26 @@
-# A small site of stand-ins and daemons on loopback addresses; to be sourced.
+# Runs a small site of daemons and stand-ins on loopback addresses. This file is
+# sourced by test scripts and needs bash.
 #
-# Each member is a daemon and its target at one address, given as 127.30.Z.N:
-# entry port 8000, peers 8001, local 8002, control 8003, target 8080. Sites
-# that run at the same time each take a slot of addresses: Z is moved up by 20
-# for each slot. A script that uses addresses itself sets SITE_SLOT=0 first.
-# Everything started is stopped by its process number. Needs bash.
-# SITE_DAEMON_BUILD takes daemons and tool from a build of their own.
+# Each member is a daemon and its target on one address, given as 127.30.Z.N.
+# The ports are: entry 8000, peer 8001, local 8002, control 8003, target 8080.
+# Sites that run at the same time use different address slots: each slot adds 20
+# to Z. A script that has fixed addresses sets SITE_SLOT=0 first.
+# Processes are stopped by their process ID.
+# SITE_DAEMON_BUILD is the build directory of daemons and tool, if other than
+# BUILD.
 #
-#   site_begin DIRECTORY          starts with an empty directory
+#   site_begin DIRECTORY          empties the directory and reserves a slot
 #   site_member NAME ZONE SERVICE ADDRESS [target option...]
-#   site_start                    platform, all daemons, all targets
-#   site_apply FILE               puts a configuration in force
-#   site_wait                     until every daemon sees all others, ready
-#   site_call [caller option...]  load at the entry ports in SITE_ENTRIES
+#                                 adds a member
+#   site_start                    starts the platform, all daemons and all targets
+#   site_apply FILE               applies a configuration
+#   site_wait                     waits until all daemons are ready and see
+#                                 all members
+#   site_call NAME [caller option...]
+#                                 sends load to the entry ports in SITE_ENTRIES
 #   site_check [checker option...]
-#   site_end                      stops what runs
+#                                 checks the histories
+#   site_end                      stops all processes
 
 SITE_ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 BUILD=${BUILD:-build}
@@ -40,23 +46,25 @@
   exit 1
 }
 
-# Holds a lock until this shell and all that it starts have ended.
+# Reserves an address slot. File descriptor 9 holds its lock, until this shell
+# and all processes that inherit the descriptor have ended.
 site_take_slot ()
 {
   local wanted=${SITE_SLOT:-}
   if [ -n "$wanted" ]; then
     exec 9> "${TMPDIR:-/tmp}/jackdawladder-site-$wanted.lock"
-    flock -w "$SITE_SLOT_WAIT_S" 9 || site_fail "slot $wanted is taken"
+    flock -w "$SITE_SLOT_WAIT_S" 9 || site_fail "address slot $wanted is in use"
     return
   fi
   for ((SITE_SLOT = 0; SITE_SLOT < SITE_SLOTS; SITE_SLOT++)); do
     exec 9> "${TMPDIR:-/tmp}/jackdawladder-site-$SITE_SLOT.lock"
     flock -n 9 && return
   done
-  site_fail "all slots of addresses are taken"
+  site_fail "all address slots are in use"
 }
 
-# The address 127.30.Z.N, or a prefix such as 127.30.Z., in the own slot.
+# Prints an address 127.30.Z.N, or a prefix such as 127.30.Z., moved to the
+# site's slot.
 site_address ()
 {
   local rest=${1#127.30.}
@@ -73,7 +81,7 @@
   trap site_end EXIT
 }
 
-# Appends a record with the present time: site_record FILE JSON-MEMBERS.
+# site_record FILE JSON-MEMBERS: appends a record with the current time.
 site_record ()
 {
   python3 -c 'import json, sys, time
@@ -82,7 +90,7 @@
 print(json.dumps(record))' "$2" >> "$SITE_DIR/$1"
 }
 
-# Records a fault. The time is read right before the fault is made.
+# site_note WHO WHAT: records a fault. Call it right before injecting the fault.
 site_note ()
 {
   local who=$1 what=$2
@@ -103,7 +111,7 @@
   SITE_ENTRIES+=("$address:8000")
 }
 
-# The first two members are the seeds of all.
+# Prints the settings of a daemon. The first two members are the seeds of all.
 site_settings ()
 {
   local name=$1 seeds="" other
@@ -172,7 +180,7 @@
   unset "TARGET_PID[$1]"
 }
 
-# Begins a planned stop; does not wait for its end.
+# Starts the planned stop of a daemon without waiting for its end.
 drain_daemon ()
 {
   site_note "$1" drain
@@ -192,13 +200,14 @@
   site_alive
 }
 
-# Whether a process runs; one that has ended stays as a zombie.
+# Whether a process runs. A zombie, which has ended but was not waited for, does
+# not.
 is_running ()
 {
   grep -q '^State:[[:space:]]*[^Z[:space:]]' "/proc/$1/status" 2> /dev/null
 }
 
-# Fails if a process has ended, for instance since its address is taken.
+# Fails if a process has ended, for instance because its address is in use.
 site_alive ()
 {
   local name
@@ -217,7 +226,8 @@
   curl -s -m 1 "http://${SITE_ADDRESS[$1]}:8002/jl/status"
 }
 
-# Whether a daemon has a configuration, its target and all members.
+# is_ready NAME COUNT: whether a daemon has a configuration, its target is up,
+# and it sees COUNT members alive.
 is_ready ()
 {
   local count=$2
@@ -227,6 +237,8 @@
          and status["alive"] >= int(sys.argv[1]) else 1)' "$count" 2> /dev/null
 }
 
+# site_wait [COUNT]: waits until each running daemon is ready and sees COUNT
+# members, by default as many as there are running daemons.
 site_wait ()
 {
   local name count=${1:-${#DAEMON_PID[@]}} until=$((SECONDS + SITE_DEADLINE_S))
@@ -239,13 +251,14 @@
   done
 }
 
-# The operators' tool against the platform.
+# Runs the operators' tool against the site's platform.
 site_tool ()
 {
   "${SITE_DAEMON_BUILD:-$BUILD}/jackdawladder" --platform "$SITE_PLATFORM" "$@"
 }
 
-# Repeats itself, since the platform may not listen yet.
+# Applies a configuration and records its version. Retries, since the platform
+# may not listen yet.
 site_apply ()
 {
   local until=$((SECONDS + SITE_DEADLINE_S))
@@ -260,7 +273,7 @@
       | tail -n 1)"
 }
 
-# Until each daemon that runs has a version or a higher one.
+# Waits until each running daemon has the given version or a higher one.
 site_wait_version ()
 {
   local name version=$1 until=$((SECONDS + SITE_DEADLINE_S))
@@ -275,12 +288,14 @@
   done
 }
 
+# platform_control FAULT?PARAMETER=VALUE: sets a fault of the platform.
 platform_control ()
 {
   curl -s -m 2 -X POST "http://$SITE_PLATFORM/test/$1" > /dev/null
 }
 
-# Load from a caller with the given name; the history is CALLER.caller.jsonl.
+# site_call NAME [caller option...]: sends load to all entry ports. The history
+# is NAME.caller.jsonl.
 site_call ()
 {
   local name=$1 entry entries=()
@@ -293,7 +308,8 @@
     --csv "$SITE_DIR/$name.csv" "$@"
 }
 
-# Samples all daemons' configurations: site_sample [exec] [--once].
+# site_sample [exec] [--once]: records the configuration versions of all daemons.
+# With exec, the sampler replaces the shell, so that $! is its process ID.
 site_sample ()
 {
   local name daemons=() how=""
@@ -308,20 +324,23 @@
     --history "$SITE_DIR/versions.jsonl" "${daemons[@]}"
 }
 
+# Samples the configuration versions in the background until site_end.
 site_watch ()
 {
   site_sample exec &
   SITE_OTHERS+=($!)
 }
 
-# Hands a document to a daemon as the tool does.
+# site_install NAME VERSION FILE: sends a configuration to a daemon as the tool
+# does.
 site_install ()
 {
   curl -s -m 2 -X POST -H "Jl-Config-Version: $2" --data-binary "@$3" \
     "http://${SITE_ADDRESS[$1]}:8002/jl/config" > /dev/null
 }
 
-# The versions that daemons installed, in order, from the log of each life.
+# Writes a history of the versions that daemons installed, from the log of each
+# daemon process. The times are line numbers: only the order matters.
 site_installed ()
 {
   local log name
@@ -335,6 +354,7 @@
   done > "$SITE_DIR/installed.jsonl"
 }
 
+# Checks all histories of the site against the rules.
 site_check ()
 {
   site_installed
@@ -342,7 +362,8 @@
     ${SITE_CONFIG:+--config "$SITE_CONFIG"} "$@" "$SITE_DIR"/*.jsonl
 }
 
-# Stops what is left. Daemons and stopped processes get no planned stop here.
+# Kills all processes that still run. SIGKILL also ends paused processes; there
+# is no planned stop.
 site_end ()
 {
   local process
@@ -360,8 +381,9 @@
   PLATFORM_PID=
 }
 
-# The site of the process tests: front and store in zones a, b and c.
-# Members are front-a, store-a and so on; arguments go to all targets.
+# small_site DIRECTORY [target option...]: starts the site of the process tests,
+# services front and store in zones a, b and c. Members are front-a, store-a and
+# so on.
 small_site ()
 {
   local zone number=0
@@ -378,7 +400,7 @@
   site_wait
 }
 
-# Cuts zone c of the small site off from a and b, for daemons.
+# Partitions zone c of the small site from zones a and b, for daemons only.
 cut_zone_c ()
 {
   local name
@@ -393,6 +415,7 @@
   done
 }
 
+# Ends the partition.
 join_zones ()
 {
   local name
@@ -408,7 +431,8 @@
 ORDER="order POST /order importance=1 request-bytes=200"
 UPLOAD="upload PUT /upload importance=2 request-bytes=500000"
 
-# Whether requests of a caller are all answered whole again, with patience.
+# Whether all requests of a caller get complete answers, with up to 60
+# repetitions of each.
 site_serves ()
 {
   site_call after --rate 50 --seconds 30 --count 50 --resends 60 \
@@ -416,7 +440,9 @@
     --kind "$LIST" --kind "$RESERVE" --kind "$ORDER"
 }
 
-# process_test NAME FUNCTION [argument...]: one test line.
+# process_test NAME FUNCTION [argument...]: runs a function, with the output
+# directory as its last argument, and prints its test line. The output goes to
+# out/NAME.log.
 process_test ()
 {
   local name=$1 log=$SITE_ROOT/out/$1.log
@@ -430,8 +456,9 @@
   fi
 }
 
-# process_test_broken NAME RULE FUNCTION: the test line of a run that has to
-# break a rule, because a mechanism is off or the daemons only forward.
+# process_test_broken NAME RULE FUNCTION: runs a function that must violate a
+# rule, since a mechanism is switched off or the daemons only forward, and prints
+# its test line.
 process_test_broken ()
 {
   local name=$1 rule=$2 log=$SITE_ROOT/out/$1.log
@@ -446,7 +473,7 @@
   fi
 }
 
-# Posts to a daemon's test hooks.
+# site_hook NAME HOOK: posts to a test hook of a daemon.
 site_hook ()
 {
   curl -s -m 1 -X POST "http://${SITE_ADDRESS[$1]}:8002/test/$2" > /dev/null
