--- a/tests/standins/caller.c
+++ b/tests/standins/caller.c
@@ -65,7 +65,7 @@
  * @ignores_retry_after: requests are sent again after @resend_ms, also when an
  *                       answer gives another time or forbids it
  * @same_content: all sendings of a request share one identifier
- * @wants_all: the exit status is 1 unless all requests got complete answers
+ * @requires_all: the exit status is 1 unless all requests got complete answers
  * @budget_ms: value of Jl-Budget-Ms, 0 for no such header
  * @idle: curl handles for reuse
  * @tickets: unused tickets from earlier answers
@@ -83,7 +83,7 @@
   unsigned resends;
   bool ignores_retry_after;
   bool same_content;
-  bool wants_all;
+  bool requires_all;
   long resend_ms;
   long timeout_ms;
   long budget_ms;
@@ -163,6 +163,7 @@
   curl_multi_add_handle (caller.multi, sending->curl);
 }
 
+/* Fetches a ticket; the request is sent once the ticket arrives. */
 static void
 fetch_ticket (struct request *request)
 {
@@ -343,6 +344,7 @@
   return true;
 }
 
+/* Counts the final result of a request. */
 static void
 count_result (struct kind *kind, const struct sending *sending, bool good)
 {
@@ -465,6 +467,7 @@
     }
 }
 
+/* Returns an exponentially distributed interval between two requests. */
 static uint64_t
 draw_interval_us (void)
 {
@@ -502,6 +505,7 @@
     }
 }
 
+/* Writes the goodput over time. */
 static void
 write_csv (void)
 {
@@ -614,7 +618,7 @@
       caller.ignores_retry_after = true;
       return 0;
     case 'a':
-      caller.wants_all = true;
+      caller.requires_all = true;
       return 0;
     case 'x':
       caller.same_content = true;
@@ -647,5 +651,5 @@
   run_load ();
   mix_print (&caller.mix, caller.seconds);
   write_csv ();
-  return caller.wants_all && !mix_all_whole (&caller.mix) ? 1 : 0;
+  return caller.requires_all && !mix_all_whole (&caller.mix) ? 1 : 0;
 }
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -42,6 +42,14 @@
   GString *value;
 };
 
+/**
+ * struct platform - the options, the data and the current faults
+ * @last_tag: number of the last write
+ * @delay_ms: delay of each request
+ * @lost_answers_percent: probability that a write's answer is lost
+ * @reads: number of reads, for /test/counts
+ * @writes: number of writes, for /test/counts
+ */
 struct platform
 {
   const char *listen;
--- a/tests/standins/target.c
+++ b/tests/standins/target.c
@@ -40,6 +40,8 @@
  * @cold_factor: factor of the service times while the target is cold
  * @queues: whether requests wait for a slot instead of being refused
  * @slow_factor: factor of the service times, set under /test/slow
+ * @last_run: number of the last run
+ * @left: the target is stopping, and no longer announces itself
  */
 struct target
 {
@@ -217,6 +219,8 @@
   g_cond_signal (&target.slot_free);
 }
 
+/* Progress callback of libcurl: aborts a downstream call if the client has
+ * closed the connection. */
 static int
 check_client (void *context,
               curl_off_t a G_GNUC_UNUSED,
@@ -494,6 +498,8 @@
   return status / 100 == 2;
 }
 
+/* Announces the target to its daemon once per ANNOUNCE_PERIOD_US, and reports
+ * its leave at the end. Runs as a thread of its own. */
 static gpointer
 announce (gpointer context G_GNUC_UNUSED)
 {
