--- a/include/jackdawladder/base.h
+++ b/include/jackdawladder/base.h
@@ -2,10 +2,10 @@
 #define JACKDAWLADDER_BASE_H
 
 /**
- * DOC: Types that every module shares.
+ * DOC: Basic types shared by all modules.
  *
- * Times are unsigned 64-bit microseconds of the monotonic clock of the own
- * process. No time of another process is ever compared with them.
+ * Times are unsigned 64-bit microseconds of the monotonic clock of this
+ * process. They are never compared with times of another process.
  */
 
 #include <inttypes.h>
@@ -18,26 +18,31 @@
 #define JL_USEC_PER_MSEC UINT64_C (1000)
 #define JL_USEC_PER_SEC UINT64_C (1000000)
 
-/* Importance classes in a configuration; class 0 is the most important. */
+/* Maximum number of importance classes; class 0 is the most important. */
 #define JL_CLASS_MAX 8
-/* Sampling values within one class. */
+/* Number of sample values that divide one importance class. */
 #define JL_SAMPLE_COUNT 128
-/* A priority is class * JL_SAMPLE_COUNT + sample; lower is more important. */
+/*
+ * Number of priorities. A priority is class * JL_SAMPLE_COUNT + sample; a lower
+ * value is more important.
+ */
 #define JL_PRIORITY_COUNT (JL_CLASS_MAX * JL_SAMPLE_COUNT)
-/* Services in a configuration. */
+/* Maximum number of services in a configuration. */
 #define JL_SERVICE_MAX 64
-/* Kinds of request in a configuration. */
+/* Maximum number of request kinds in a configuration. */
 #define JL_KIND_MAX 256
-/* Bytes of a name (service, kind, zone, member), with the final zero. */
+/* Buffer size in bytes of a service, kind, class, zone, region or daemon name,
+ * including the terminating NUL. */
 #define JL_NAME_SIZE 48
 
+/* Index that refers to no entry, such as an unknown kind or service. */
 #define JL_NONE UINT32_MAX
 
 /**
- * enum jl_outcome - what became of a request
- * @JL_OUTCOME_DONE: it ran, and the answer is whole
- * @JL_OUTCOME_NOT_RUN: it ran nowhere and will run nowhere
- * @JL_OUTCOME_UNKNOWN: it may have run
+ * enum jl_outcome - execution status of a request
+ * @JL_OUTCOME_DONE: the request ran and its response is complete
+ * @JL_OUTCOME_NOT_RUN: the request did not run and will never run
+ * @JL_OUTCOME_UNKNOWN: the request may have run
  */
 enum jl_outcome
 {
@@ -47,9 +52,32 @@
 };
 
 /**
- * enum jl_reason - why a request was not answered by its target
+ * enum jl_reason - why a request has no response from its target
+ * @JL_REASON_NONE: the target responded
+ * @JL_REASON_NO_CONFIG: the daemon has no configuration yet
+ * @JL_REASON_NO_KIND: no kind of the configuration matches the request
+ * @JL_REASON_NO_TARGET: no target of the service is available
+ * @JL_REASON_OVERLOAD: the request was shed because its target is overloaded
+ * @JL_REASON_DOWNSTREAM: a service further down the call tree would shed it
+ * @JL_REASON_DEADLINE: the deadline passed, or would pass in the queue
+ * @JL_REASON_DRAINING: the daemon or its target is draining
+ * @JL_REASON_POISON: requests with this content are suspected of crashing
+ *                    targets
+ * @JL_REASON_TARGET_LOST: the target failed while the request was in progress
+ * @JL_REASON_TIMEOUT: no complete response arrived in time
+ * @JL_REASON_CANCELLED: the caller no longer waits for the response
+ * @JL_REASON_TOO_LARGE: the request or response body exceeds its limit
+ * @JL_REASON_HOME_LOST: the daemon that issued the ticket is gone
+ * @JL_REASON_PLATFORM: the platform's table gave no result in time
+ * @JL_REASON_IN_PROGRESS: another request with the same ticket is in progress
+ * @JL_REASON_DUPLICATE: an earlier request with the same ticket may have run
+ * @JL_REASON_KEY_REUSED: the ticket was used before with other content
+ * @JL_REASON_NO_TOKENS: reserved; no code produces it
+ * @JL_REASON_MALFORMED: the request is malformed
+ * @JL_REASON_COUNT: number of reasons
  *
- * Sent between daemons and to callers by name, see jl_reason_name().
+ * Reasons are sent to other daemons and to callers by name, see
+ * jl_reason_name().
  */
 enum jl_reason
 {
@@ -86,9 +114,10 @@
 };
 
 /**
- * struct jl_identity - one life of one daemon
+ * struct jl_identity - identifies one run of a daemon process
  * @member: address and control port, see jl_member_id()
- * @epoch: wall clock at its start in microseconds; a later life is higher
+ * @epoch: wall clock at process start in microseconds; a restart of the daemon
+ *         has a higher epoch
  */
 struct jl_identity
 {
@@ -97,9 +126,9 @@
 };
 
 /**
- * struct jl_attempt_id - one sending of one call, unique for ever
- * @origin: the daemon that sends it
- * @number: counted by that daemon
+ * struct jl_attempt_id - globally unique identifier of one attempt of a call
+ * @origin: the daemon that makes the attempt
+ * @number: sequence number, assigned by @origin
  */
 struct jl_attempt_id
 {
@@ -108,38 +137,39 @@
 };
 
 /**
- * struct jl_ticket - permission for at most one run
- * @minter: the only daemon that may grant the run
- * @number: counted by the minter; 0 means no ticket
- * @branch: 0 for a request, else a hash of the path down the call tree
+ * struct jl_ticket - permission to execute a request at most once
+ * @issuer: the only daemon that may permit the execution
+ * @number: sequence number, assigned by @issuer; 0 means no ticket
+ * @branch: 0 for the root request, else a hash of its path in the call tree
  */
 struct jl_ticket
 {
-  struct jl_identity minter;
+  struct jl_identity issuer;
   uint64_t number;
   uint64_t branch;
 };
 
 /**
- * jl_member_id - identifier of the daemon at a control endpoint
+ * jl_member_id - returns the member identifier of a control endpoint
  */
 uint64_t jl_member_id (struct jl_endpoint control);
 
 /**
- * jl_member_endpoint - control endpoint of a member identifier
+ * jl_member_endpoint - returns the control endpoint of a member identifier
  */
 struct jl_endpoint jl_member_endpoint (uint64_t member);
 
 /**
- * jl_endpoint_parse - reads "a.b.c.d:port"
+ * jl_endpoint_parse - parses "a.b.c.d:port"
+ * @endpoint: receives the endpoint; unchanged on failure
  *
- * Return: false if @text is anything else.
+ * Return: false if @text has another form or the port is 0.
  */
 bool jl_endpoint_parse (const char *text, struct jl_endpoint *endpoint);
 
 /**
- * jl_endpoint_format - writes "a.b.c.d:port"
- * @text: at least JL_ENDPOINT_TEXT_SIZE bytes
+ * jl_endpoint_format - formats an endpoint as "a.b.c.d:port"
+ * @text: buffer of at least JL_ENDPOINT_TEXT_SIZE bytes
  */
 #define JL_ENDPOINT_TEXT_SIZE 24
 void jl_endpoint_format (struct jl_endpoint endpoint, char *text);
@@ -149,36 +179,62 @@
 bool jl_ticket_equal (struct jl_ticket a, struct jl_ticket b);
 
 /**
- * jl_attempt_id_format - writes three hexadecimal numbers with dashes
- * @text: at least JL_ID_TEXT_SIZE bytes
+ * jl_attempt_id_format - formats an identifier as three hexadecimal numbers
+ *                        separated by dashes
+ * @text: buffer of at least JL_ID_TEXT_SIZE bytes
  */
 #define JL_ID_TEXT_SIZE 72
 void jl_attempt_id_format (struct jl_attempt_id id, char *text);
+
+/**
+ * jl_attempt_id_parse - parses the form of jl_attempt_id_format()
+ *
+ * Return: false if @text has another form; @id is then unchanged.
+ */
 bool jl_attempt_id_parse (const char *text, struct jl_attempt_id *id);
 
 /**
- * jl_ticket_format - writes "jl-" and four hexadecimal numbers with dashes
- * @text: at least JL_ID_TEXT_SIZE bytes
+ * jl_ticket_format - formats a ticket as "jl-" and four hexadecimal numbers
+ *                    separated by dashes
+ * @text: buffer of at least JL_ID_TEXT_SIZE bytes
  */
 void jl_ticket_format (struct jl_ticket ticket, char *text);
+
+/**
+ * jl_ticket_parse - parses the form of jl_ticket_format()
+ *
+ * Return: false if @text has another form; @ticket is then unchanged.
+ */
 bool jl_ticket_parse (const char *text, struct jl_ticket *ticket);
 
 /**
- * jl_outcome_name - "done", "not-run" or "unknown"
+ * jl_outcome_name - returns "done", "not-run" or "unknown"
  */
 const char *jl_outcome_name (enum jl_outcome outcome);
+
+/**
+ * jl_outcome_parse - parses a name of jl_outcome_name()
+ *
+ * Return: false if no outcome has this name.
+ */
 bool jl_outcome_parse (const char *name, enum jl_outcome *outcome);
 
 /**
- * jl_reason_name - lower-case name with dashes, such as "overload"
+ * jl_reason_name - returns the name of a reason, such as "target-lost"
  */
 const char *jl_reason_name (enum jl_reason reason);
+
+/**
+ * jl_reason_parse - parses a name of jl_reason_name()
+ *
+ * Return: false if no reason has this name.
+ */
 bool jl_reason_parse (const char *name, enum jl_reason *reason);
 
 /**
- * jl_now - the monotonic clock in microseconds
+ * jl_now - returns the monotonic clock in microseconds
  *
- * For the threads at the edge only; the reducer takes time from its events.
+ * Only the I/O threads call this; the core takes the time from its events.
  */
 uint64_t jl_now (void);
 
--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -14,7 +14,7 @@
 /**
  * enum jl_effect_type - what the edge is to do
  * @JL_EFFECT_SEND: send a call to the guard of a target
- * @JL_EFFECT_FORWARD: send a call on to the minter of its ticket
+ * @JL_EFFECT_FORWARD: send a call on to the issuer of its ticket
  * @JL_EFFECT_ANSWER: give a call its final answer
  * @JL_EFFECT_CLAIM: claim a caller's key in the platform's table
  * @JL_EFFECT_RUN: send a work item to the own target
@@ -73,7 +73,7 @@
 };
 
 /**
- * struct jl_effect_forward - send a call on to the minter of its ticket
+ * struct jl_effect_forward - send a call on to the issuer of its ticket
  */
 struct jl_effect_forward
 {
--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -88,7 +88,7 @@
  * @kind: index in the configuration of @config_version, JL_NONE if none fits
  * @parent: work during which the own target makes this call, 0 for a caller
  * @ordinal: how many calls of @kind @parent made before, or given by it
- * @forwarded: sent on by another daemon to the minter of its ticket
+ * @forwarded: sent on by another daemon to the issuer of its ticket
  * @attempt: with @forwarded only, that daemon's sending
  * @key_hash: hash of a caller's key, with JL_KEY_CALLER
  * @digest: digest of method, path and body
--- a/include/jackdawladder/peer.h
+++ b/include/jackdawladder/peer.h
@@ -42,7 +42,7 @@
                        struct jl_peer_call *call);
 
 /**
- * struct jl_peer_forward - what goes with a call to the minter of its ticket
+ * struct jl_peer_forward - what goes with a call to the issuer of its ticket
  */
 struct jl_peer_forward
 {
--- a/include/jackdawladder/settings.h
+++ b/include/jackdawladder/settings.h
@@ -2,32 +2,38 @@
 #define JACKDAWLADDER_SETTINGS_H
 
 /**
- * DOC: Settings of one daemon process: JSON with comments, read once.
+ * DOC: Settings of a daemon process.
+ *
+ * The settings are a file of JSON with comments, which is read at startup.
  */
 
 #include "jackdawladder/config.h"
 #include "jackdawladder/core.h"
 
+/* Maximum number of seeds. */
 #define JL_SEED_MAX 16
 
 /**
- * struct jl_settings - settings of one daemon
- * @name: for logs
- * @ip: address of all its ports
- * @entry_port: takes calls of callers (HTTP)
- * @peer_port: takes calls of other daemons (HTTP)
- * @local_port: takes announcements and calls of the own target, and the
- *              operators' tool (HTTP)
- * @control_port: takes control messages (UDP)
- * @target: where the own target takes requests
- * @has_platform: whether @platform is given
- * @platform: the platform's table service and object store (HTTP)
- * @seeds: control endpoints of other daemons
- * @entry_threads: calls of callers in progress at most
- * @peer_threads: connections of other daemons at most
- * @local_threads: connections of the own target and the tool at most
- * @mode: "full", "limit-only" or "forward"
- * @drain_ms: how long a planned stop waits for requests in progress
+ * struct jl_settings - settings of a daemon
+ * @name: name of the daemon in logs
+ * @zone: availability zone of the daemon
+ * @ip: IPv4 address of all ports of the daemon, in host byte order
+ * @entry_port: HTTP port for callers
+ * @peer_port: HTTP port for other daemons
+ * @local_port: HTTP port for the local target's announcements and calls, and
+ * for the command-line tool
+ * @control_port: UDP port for control messages
+ * @target: HTTP endpoint of the local target
+ * @has_platform: whether @platform is set
+ * @platform: HTTP endpoint of the platform's table service and object store
+ * @seeds: control endpoints of other daemons, contacted to join the membership
+ * @entry_threads: maximum number of callers' requests in progress
+ * @peer_threads: maximum number of connections of other daemons
+ * @local_threads: maximum number of connections of the local target and the
+ *                 command-line tool
+ * @mode: mode of the core: "full", "limit-only" or "forward"
+ * @drain_ms: maximum time in milliseconds that a graceful shutdown waits for
+ *            requests in progress
  */
 struct jl_settings
 {
@@ -51,15 +57,19 @@
 };
 
 /**
- * jl_settings_load - reads and checks a settings file
+ * jl_settings_load - reads and validates a settings file
+ * @error: its message starts with the line number or with the path in the file
  *
- * Return: NULL with @error of JL_CONFIG_ERROR set; the message names the path
- * in the file. Free with g_free().
+ * Return: the settings, to be freed with g_free(), or NULL with an @error of
+ * the domain JL_CONFIG_ERROR.
  */
 struct jl_settings *jl_settings_load (const char *path, GError **error);
 
 /**
- * jl_settings_parse - the same from memory
+ * jl_settings_parse - parses and validates settings in memory
+ * @text: the file's content; need not be NUL-terminated
+ *
+ * See jl_settings_load() for @error and the result.
  */
 struct jl_settings *
 jl_settings_parse (const char *text, size_t size, GError **error);
--- a/source/base/base.c
+++ b/source/base/base.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Identifiers and names that every module shares.
+ * DOC: Identifiers and names shared by all modules.
  */
 
 #include "jackdawladder/base.h"
@@ -80,11 +80,11 @@
 bool
 jl_ticket_equal (struct jl_ticket a, struct jl_ticket b)
 {
-  return jl_identity_equal (a.minter, b.minter) && a.number == b.number
+  return jl_identity_equal (a.issuer, b.issuer) && a.number == b.number
          && a.branch == b.branch;
 }
 
-/* Reads one to sixteen hexadecimal digits. */
+/* Parses one to sixteen hexadecimal digits and advances @text past them. */
 static bool
 parse_hex (const char **text, uint64_t *number)
 {
@@ -101,7 +101,7 @@
   return digits > 0;
 }
 
-/* Reads @count numbers with dashes between them, up to the end of @text. */
+/* Parses exactly @count hexadecimal numbers, separated by dashes. */
 static bool
 parse_numbers (const char *text, uint64_t *numbers, size_t count)
 {
@@ -140,7 +140,7 @@
 {
   snprintf (
       text, JL_ID_TEXT_SIZE, "jl-%" PRIx64 "-%" PRIx64 "-%" PRIx64 "-%" PRIx64,
-      ticket.minter.member, ticket.minter.epoch, ticket.number, ticket.branch);
+      ticket.issuer.member, ticket.issuer.epoch, ticket.number, ticket.branch);
 }
 
 bool
@@ -152,8 +152,8 @@
     return false;
   if (!parse_numbers (text + 3, numbers, G_N_ELEMENTS (numbers)))
     return false;
-  ticket->minter.member = numbers[0];
-  ticket->minter.epoch = numbers[1];
+  ticket->issuer.member = numbers[0];
+  ticket->issuer.epoch = numbers[1];
   ticket->number = numbers[2];
   ticket->branch = numbers[3];
   return true;
@@ -165,7 +165,7 @@
   return outcome_names[outcome];
 }
 
-/* Index of @name in @names, -1 when it is not there. */
+/* Returns the index of @name in @names, or -1. */
 static int
 find_name (const char *const *names, size_t count, const char *name)
 {
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The catalogue of log events, and its way into GLib's logging.
+ * DOC: The table of log events, and their output through GLib.
  */
 
 #define G_LOG_DOMAIN "jackdawladder"
@@ -9,7 +9,8 @@
 #include <inttypes.h>
 
 /**
- * struct log_entry - one event of the catalogue
+ * struct log_entry - definition of a log event
+ * @text: sentence that follows the number
  * @first: name of the first argument, NULL for none
  * @second: name of the second argument, NULL for none
  */
@@ -22,15 +23,15 @@
   const char *second;
 };
 
-static const struct log_entry catalogue[] = {
+static const struct log_entry entries[] = {
   { JL_LOG_CONFIG_INSTALLED, G_LOG_LEVEL_MESSAGE, "configuration installed",
     "version", NULL },
-  { JL_LOG_CONFIG_REFUSED, G_LOG_LEVEL_WARNING, "configuration refused",
+  { JL_LOG_CONFIG_REFUSED, G_LOG_LEVEL_WARNING, "configuration rejected",
     "version", NULL },
   { JL_LOG_TARGET_UP, G_LOG_LEVEL_MESSAGE, "target announced", "slots",
     "started" },
   { JL_LOG_TARGET_DOWN, G_LOG_LEVEL_WARNING, "target down", "reason", NULL },
-  { JL_LOG_DRAIN_BEGUN, G_LOG_LEVEL_MESSAGE, "drain begun", NULL, NULL },
+  { JL_LOG_DRAIN_STARTED, G_LOG_LEVEL_MESSAGE, "draining started", NULL, NULL },
   { JL_LOG_MEMBER_ALIVE, G_LOG_LEVEL_MESSAGE, "member alive", "member",
     "incarnation" },
   { JL_LOG_MEMBER_SUSPECT, G_LOG_LEVEL_MESSAGE, "member suspected", "member",
@@ -43,24 +44,25 @@
     "level", "class" },
   { JL_LOG_LEVEL_RESTORED, G_LOG_LEVEL_MESSAGE, "admission level restored",
     NULL, NULL },
-  { JL_LOG_STRIKE, G_LOG_LEVEL_WARNING, "request struck", "digest", "strikes" },
+  { JL_LOG_STRIKE, G_LOG_LEVEL_WARNING,
+    "request suspected of crashing a target", "digest", "strikes" },
   { JL_LOG_STARTED, G_LOG_LEVEL_MESSAGE, "daemon started", NULL, NULL },
   { JL_LOG_STOPPED, G_LOG_LEVEL_MESSAGE, "daemon stopped", NULL, NULL },
   { JL_LOG_MALFORMED_REQUEST, G_LOG_LEVEL_WARNING, "malformed request", NULL,
     NULL },
-  { JL_LOG_PLATFORM_LOST, G_LOG_LEVEL_WARNING, "platform out of reach", NULL,
-    NULL },
-  { JL_LOG_PLATFORM_BACK, G_LOG_LEVEL_MESSAGE, "platform in reach again", NULL,
-    NULL },
+  { JL_LOG_PLATFORM_UNREACHABLE, G_LOG_LEVEL_WARNING, "platform unreachable",
+    NULL, NULL },
+  { JL_LOG_PLATFORM_REACHABLE, G_LOG_LEVEL_MESSAGE, "platform reachable again",
+    NULL, NULL },
 };
 
 static const struct log_entry *
 find_entry (enum jl_log_number number)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (catalogue); i++)
-    if (catalogue[i].number == number)
-      return &catalogue[i];
-  g_error ("log event %d is not in the catalogue", (int)number);
+  for (size_t i = 0; i < G_N_ELEMENTS (entries); i++)
+    if (entries[i].number == number)
+      return &entries[i];
+  g_error ("log event %d is not defined", (int)number);
 }
 
 void
--- a/source/config/config.c
+++ b/source/config/config.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The operators' configuration document.
+ * DOC: Parsing and validation of the configuration document.
  */
 
 #include "jackdawladder/config.h"
@@ -24,13 +24,16 @@
 
 static const char any_method[] = "*";
 
-/* Refuses an item that has the name of an earlier one; items begin with it. */
+/*
+ * Rejects item @index of @items if an earlier item has the same name. Each item
+ * is @size bytes long and begins with its name.
+ */
 static void
-check_unique (struct jl_reader *reader,
-              const char *key,
-              const void *items,
-              size_t size,
-              uint32_t index)
+check_name_is_unique (struct jl_reader *reader,
+                      const char *key,
+                      const void *items,
+                      size_t size,
+                      uint32_t index)
 {
   const char *name = (const char *)items + index * size;
 
@@ -50,11 +53,11 @@
 
   for (uint32_t i = 0; i < config->class_count; i++)
     {
-      jl_reader_enter (reader, "classes", i);
+      jl_reader_enter_item (reader, "classes", i);
       jl_read_name (reader, json_object_array_get_idx (list, i), NULL,
                     config->classes[i]);
-      check_unique (reader, NULL, config->classes, sizeof config->classes[0],
-                    i);
+      check_name_is_unique (reader, NULL, config->classes,
+                            sizeof config->classes[0], i);
       jl_reader_leave (reader);
     }
 }
@@ -66,7 +69,7 @@
 {
   static const char *const keys[] = { "name", "region", NULL };
 
-  if (!jl_read_keys (reader, object, keys))
+  if (!jl_read_check_keys (reader, object, keys))
     return;
   jl_read_name (reader, object, "name", zone->name);
   jl_read_name (reader, object, "region", zone->region);
@@ -82,10 +85,11 @@
 
   for (uint32_t i = 0; i < config->zone_count; i++)
     {
-      jl_reader_enter (reader, "zones", i);
+      jl_reader_enter_item (reader, "zones", i);
       read_zone (reader, json_object_array_get_idx (list, i),
                  &config->zones[i]);
-      check_unique (reader, "name", config->zones, sizeof config->zones[0], i);
+      check_name_is_unique (reader, "name", config->zones,
+                            sizeof config->zones[0], i);
       jl_reader_leave (reader);
     }
 }
@@ -98,20 +102,20 @@
   static const char *const keys[]
       = { "name", "retry_percent", "queue_wait_ms", "cold_start_ms", NULL };
 
-  if (!jl_read_keys (reader, object, keys))
+  if (!jl_read_check_keys (reader, object, keys))
     return;
   jl_read_name (reader, object, "name", service->name);
-  service->retry_percent
-      = (uint32_t)jl_read_number_or (reader, object, "retry_percent", 0,
-                                     RETRY_PERCENT_MAX, RETRY_PERCENT_DEFAULT);
+  service->retry_percent = (uint32_t)jl_read_number_default (
+      reader, object, "retry_percent", 0, RETRY_PERCENT_MAX,
+      RETRY_PERCENT_DEFAULT);
   service->queue_wait_us
       = JL_USEC_PER_MSEC
-        * jl_read_number_or (reader, object, "queue_wait_ms", 1,
-                             QUEUE_WAIT_MAX_MS, QUEUE_WAIT_DEFAULT_MS);
+        * jl_read_number_default (reader, object, "queue_wait_ms", 1,
+                                  QUEUE_WAIT_MAX_MS, QUEUE_WAIT_DEFAULT_MS);
   service->cold_start_us
       = JL_USEC_PER_MSEC
-        * jl_read_number_or (reader, object, "cold_start_ms", 0,
-                             COLD_START_MAX_MS, COLD_START_DEFAULT_MS);
+        * jl_read_number_default (reader, object, "cold_start_ms", 0,
+                                  COLD_START_MAX_MS, COLD_START_DEFAULT_MS);
 }
 
 static void
@@ -124,25 +128,25 @@
 
   for (uint32_t i = 0; i < config->service_count; i++)
     {
-      jl_reader_enter (reader, "services", i);
+      jl_reader_enter_item (reader, "services", i);
       read_service (reader, json_object_array_get_idx (list, i),
                     &config->services[i]);
-      check_unique (reader, "name", config->services,
-                    sizeof config->services[0], i);
+      check_name_is_unique (reader, "name", config->services,
+                            sizeof config->services[0], i);
       jl_reader_leave (reader);
     }
 }
 
 static uint32_t
-read_service_name (struct jl_reader *reader,
-                   struct json_object *object,
-                   const struct jl_config *config)
+read_service_reference (struct jl_reader *reader,
+                        struct json_object *object,
+                        const struct jl_config *config)
 {
   char name[JL_NAME_SIZE];
   uint32_t service;
 
   jl_read_name (reader, object, "service", name);
-  service = jl_config_service (config, name);
+  service = jl_config_find_service (config, name);
   if (service == JL_NONE)
     jl_reader_fail (reader, "service", JL_CONFIG_ERROR_REFERENCE,
                     "no service \"%s\"", name);
@@ -150,9 +154,9 @@
 }
 
 static uint32_t
-read_class (struct jl_reader *reader,
-            struct json_object *object,
-            const struct jl_config *config)
+read_class_reference (struct jl_reader *reader,
+                      struct json_object *object,
+                      const struct jl_config *config)
 {
   char name[JL_NAME_SIZE];
 
@@ -173,7 +177,7 @@
   static const char letters[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ";
 
   g_strlcpy (kind->method, any_method, sizeof kind->method);
-  if (!jl_read_has (object, "method"))
+  if (!jl_read_has_key (object, "method"))
     return;
   jl_read_text (reader, object, "method", kind->method, sizeof kind->method);
   if (strcmp (kind->method, any_method) != 0
@@ -204,38 +208,38 @@
           "class",         "idempotent",   "deadline_ms", "retry_tokens",
           "request_bytes", "answer_bytes", NULL };
 
-  if (!jl_read_keys (reader, object, keys))
+  if (!jl_read_check_keys (reader, object, keys))
     return;
   jl_read_name (reader, object, "name", kind->name);
-  kind->service = read_service_name (reader, object, config);
+  kind->service = read_service_reference (reader, object, config);
   read_method (reader, object, kind);
   read_path (reader, object, kind);
-  kind->importance = read_class (reader, object, config);
+  kind->importance = read_class_reference (reader, object, config);
   kind->idempotent = jl_read_boolean (reader, object, "idempotent");
   kind->deadline_us
       = JL_USEC_PER_MSEC
         * jl_read_number (reader, object, "deadline_ms", 1, DEADLINE_MAX_MS);
-  kind->retry_tokens
-      = (uint32_t)jl_read_number_or (reader, object, "retry_tokens", 0,
-                                     RETRY_TOKENS_MAX, RETRY_TOKENS_DEFAULT);
-  kind->request_bytes = jl_read_number_or (reader, object, "request_bytes", 0,
-                                           BODY_MAX_BYTES, BODY_DEFAULT_BYTES);
-  kind->answer_bytes = jl_read_number_or (reader, object, "answer_bytes", 0,
-                                          BODY_MAX_BYTES, BODY_DEFAULT_BYTES);
+  kind->retry_tokens = (uint32_t)jl_read_number_default (
+      reader, object, "retry_tokens", 0, RETRY_TOKENS_MAX,
+      RETRY_TOKENS_DEFAULT);
+  kind->request_bytes = jl_read_number_default (
+      reader, object, "request_bytes", 0, BODY_MAX_BYTES, BODY_DEFAULT_BYTES);
+  kind->answer_bytes = jl_read_number_default (
+      reader, object, "answer_bytes", 0, BODY_MAX_BYTES, BODY_DEFAULT_BYTES);
 }
 
 static bool
-method_covers (const struct jl_kind *kind, const char *method)
+matches_method (const struct jl_kind *kind, const char *method)
 {
   return strcmp (kind->method, any_method) == 0
          || strcmp (kind->method, method) == 0;
 }
 
-/* Refuses kind @index where an earlier one takes all its requests. */
+/* Rejects kind @index if an earlier kind matches all of its requests. */
 static void
-check_matches (struct jl_reader *reader,
-               const struct jl_config *config,
-               uint32_t index)
+check_reachable (struct jl_reader *reader,
+                 const struct jl_config *config,
+                 uint32_t index)
 {
   const struct jl_kind *kind = &config->kinds[index];
 
@@ -243,10 +247,10 @@
     {
       const struct jl_kind *earlier = &config->kinds[i];
 
-      if (method_covers (earlier, kind->method)
+      if (matches_method (earlier, kind->method)
           && g_str_has_prefix (kind->path, earlier->path))
         jl_reader_fail (reader, "path", JL_CONFIG_ERROR_REFERENCE,
-                        "never matches, kinds[%u] takes all its requests", i);
+                        "never matches, kinds[%u] matches all its requests", i);
     }
 }
 
@@ -260,11 +264,12 @@
 
   for (uint32_t i = 0; i < config->kind_count; i++)
     {
-      jl_reader_enter (reader, "kinds", i);
+      jl_reader_enter_item (reader, "kinds", i);
       read_kind (reader, json_object_array_get_idx (list, i), config,
                  &config->kinds[i]);
-      check_unique (reader, "name", config->kinds, sizeof config->kinds[0], i);
-      check_matches (reader, config, i);
+      check_name_is_unique (reader, "name", config->kinds,
+                            sizeof config->kinds[0], i);
+      check_reachable (reader, config, i);
       jl_reader_leave (reader);
     }
 }
@@ -277,7 +282,7 @@
   static const char *const keys[]
       = { "classes", "zones", "services", "kinds", NULL };
 
-  jl_read_keys (reader, document, keys);
+  jl_read_check_keys (reader, document, keys);
   read_classes (reader, document, config);
   read_zones (reader, document, config);
   read_services (reader, document, config);
@@ -297,7 +302,7 @@
       return NULL;
     }
   config = g_new0 (struct jl_config, 1);
-  config->references = 1;
+  config->ref_count = 1;
   config->version = version;
   config->digest = XXH3_64bits (text, size);
   config->text = g_strndup (text, size);
@@ -306,40 +311,40 @@
   json_object_put (document);
   if (jl_reader_finish (&reader, error))
     return config;
-  jl_config_drop (config);
+  jl_config_unref (config);
   return NULL;
 }
 
 struct jl_config *
-jl_config_keep (struct jl_config *config)
+jl_config_ref (struct jl_config *config)
 {
-  g_atomic_int_inc (&config->references);
+  g_atomic_int_inc (&config->ref_count);
   return config;
 }
 
 void
-jl_config_drop (struct jl_config *config)
+jl_config_unref (struct jl_config *config)
 {
-  if (config == NULL || !g_atomic_int_dec_and_test (&config->references))
+  if (config == NULL || !g_atomic_int_dec_and_test (&config->ref_count))
     return;
   g_free (config->text);
   g_free (config);
 }
 
 uint32_t
-jl_config_match (const struct jl_config *config,
-                 const char *method,
-                 const char *path)
+jl_config_match_kind (const struct jl_config *config,
+                      const char *method,
+                      const char *path)
 {
   for (uint32_t i = 0; i < config->kind_count; i++)
-    if (method_covers (&config->kinds[i], method)
+    if (matches_method (&config->kinds[i], method)
         && g_str_has_prefix (path, config->kinds[i].path))
       return i;
   return JL_NONE;
 }
 
 uint32_t
-jl_config_kind (const struct jl_config *config, const char *name)
+jl_config_find_kind (const struct jl_config *config, const char *name)
 {
   for (uint32_t i = 0; i < config->kind_count; i++)
     if (strcmp (config->kinds[i].name, name) == 0)
@@ -348,7 +353,7 @@
 }
 
 uint32_t
-jl_config_service (const struct jl_config *config, const char *name)
+jl_config_find_service (const struct jl_config *config, const char *name)
 {
   for (uint32_t i = 0; i < config->service_count; i++)
     if (strcmp (config->services[i].name, name) == 0)
--- a/source/config/reader.c
+++ b/source/config/reader.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Reads JSON documents into structures.
+ * DOC: Reads values of JSON documents into structures.
  */
 
 #include "config/reader.h"
@@ -23,41 +23,41 @@
                 ...)
 {
   const char *dot = key != NULL && reader->prefix[0] != '\0' ? "." : "";
-  g_autofree char *why = NULL;
+  g_autofree char *message = NULL;
   va_list arguments;
 
   if (reader->error != NULL)
     return;
   va_start (arguments, format);
-  why = g_strdup_vprintf (format, arguments);
+  message = g_strdup_vprintf (format, arguments);
   va_end (arguments);
   g_set_error (&reader->error, JL_CONFIG_ERROR, (int)code, "%s%s%s: %s",
-               reader->prefix, dot, key == NULL ? "" : key, why);
+               reader->prefix, dot, key == NULL ? "" : key, message);
 }
 
-/* Turns a failure of the parser into one with the line. */
+/* Records an error of the JSON parser together with its line. */
 static void
 fail_parse (struct jl_reader *reader,
             struct json_tokener *tokener,
             const char *text)
 {
-  enum json_tokener_error why = json_tokener_get_error (tokener);
+  enum json_tokener_error code = json_tokener_get_error (tokener);
   unsigned line = jl_strict_line (text, json_tokener_get_parse_end (tokener));
 
   g_set_error (&reader->error, JL_CONFIG_ERROR, JL_CONFIG_ERROR_SYNTAX,
                "line %u: %s", line,
-               why == json_tokener_continue ? "document without an end"
-                                            : json_tokener_error_desc (why));
+               code == json_tokener_continue ? "document is incomplete"
+                                             : json_tokener_error_desc (code));
 }
 
 static struct json_object *
-parse (struct jl_reader *reader, const char *text, size_t size)
+parse_json (struct jl_reader *reader, const char *text, size_t size)
 {
   struct json_tokener *tokener = json_tokener_new_ex (JL_STRICT_DEPTH_MAX + 1);
   struct json_object *document;
 
   json_tokener_set_flags (tokener, JSON_TOKENER_STRICT);
-  /* With the final zero, so that a number at the end is complete. */
+  /* The terminating NUL tells the parser that a trailing number is complete. */
   document = json_tokener_parse_ex (tokener, text, (int)size + 1);
   if (json_tokener_get_error (tokener) != json_tokener_success)
     fail_parse (reader, tokener, text);
@@ -68,19 +68,19 @@
 struct json_object *
 jl_reader_parse (struct jl_reader *reader, const char *text, size_t size)
 {
-  g_autofree char *blanked = NULL;
+  g_autofree char *stripped = NULL;
   struct json_object *document;
 
-  if (size == 0 || size > JL_CONFIG_SIZE_MAX)
+  if (size == 0 || size > JL_CONFIG_BYTES_MAX)
     {
       jl_reader_fail (reader, "document", JL_CONFIG_ERROR_RANGE,
-                      "must have 1 to %u bytes", JL_CONFIG_SIZE_MAX);
+                      "must have 1 to %u bytes", JL_CONFIG_BYTES_MAX);
       return NULL;
     }
-  blanked = jl_strict_scan (text, size, &reader->error);
-  if (blanked == NULL)
+  stripped = jl_strict_scan (text, size, &reader->error);
+  if (stripped == NULL)
     return NULL;
-  document = parse (reader, blanked, size);
+  document = parse_json (reader, stripped, size);
   if (reader->error == NULL
       && !json_object_is_type (document, json_type_object))
     jl_reader_fail (reader, "document", JL_CONFIG_ERROR_TYPE,
@@ -101,7 +101,7 @@
 }
 
 void
-jl_reader_enter (struct jl_reader *reader, const char *list, size_t index)
+jl_reader_enter_item (struct jl_reader *reader, const char *list, size_t index)
 {
   g_snprintf (reader->prefix, sizeof reader->prefix, "%s[%zu]", list, index);
 }
@@ -119,9 +119,9 @@
 }
 
 bool
-jl_read_keys (struct jl_reader *reader,
-              struct json_object *object,
-              const char *const *keys)
+jl_read_check_keys (struct jl_reader *reader,
+                    struct json_object *object,
+                    const char *const *keys)
 {
   if (!json_object_is_type (object, json_type_object))
     {
@@ -138,18 +138,21 @@
 }
 
 bool
-jl_read_has (struct json_object *object, const char *key)
+jl_read_has_key (struct json_object *object, const char *key)
 {
   return json_object_object_get_ex (object, key, NULL);
 }
 
-/* The value at @key, or NULL after a failure. */
+/*
+ * Returns the value at @key, or @object itself if @key is NULL. Records an
+ * error and returns NULL if the value is missing or isn't of @type.
+ */
 static struct json_object *
-require (struct jl_reader *reader,
-         struct json_object *object,
-         const char *key,
-         enum json_type type,
-         const char *type_name)
+get_required (struct jl_reader *reader,
+              struct json_object *object,
+              const char *key,
+              enum json_type type,
+              const char *type_name)
 {
   struct json_object *value = object;
 
@@ -175,7 +178,7 @@
                 int64_t high)
 {
   struct json_object *value
-      = require (reader, object, key, json_type_int, "an integer");
+      = get_required (reader, object, key, json_type_int, "an integer");
   int64_t number;
 
   if (value == NULL)
@@ -191,15 +194,15 @@
 }
 
 uint64_t
-jl_read_number_or (struct jl_reader *reader,
-                   struct json_object *object,
-                   const char *key,
-                   int64_t low,
-                   int64_t high,
-                   uint64_t otherwise)
+jl_read_number_default (struct jl_reader *reader,
+                        struct json_object *object,
+                        const char *key,
+                        int64_t low,
+                        int64_t high,
+                        uint64_t default_value)
 {
-  if (!jl_read_has (object, key))
-    return otherwise;
+  if (!jl_read_has_key (object, key))
+    return default_value;
   return jl_read_number (reader, object, key, low, high);
 }
 
@@ -209,7 +212,7 @@
                  const char *key)
 {
   struct json_object *value
-      = require (reader, object, key, json_type_boolean, "true or false");
+      = get_required (reader, object, key, json_type_boolean, "true or false");
 
   return value != NULL && json_object_get_boolean (value);
 }
@@ -231,7 +234,7 @@
               size_t size)
 {
   struct json_object *value
-      = require (reader, object, key, json_type_string, "a string");
+      = get_required (reader, object, key, json_type_string, "a string");
   size_t length;
 
   text[0] = '\0';
@@ -259,7 +262,7 @@
   jl_read_text (reader, object, key, name, JL_NAME_SIZE);
   if (name[strspn (name, letters)] != '\0')
     jl_reader_fail (reader, key, JL_CONFIG_ERROR_RANGE,
-                    "must be of lower-case letters, digits and dashes");
+                    "must consist of lower-case letters, digits and dashes");
 }
 
 void
@@ -285,7 +288,7 @@
               uint32_t *count)
 {
   struct json_object *value
-      = require (reader, object, key, json_type_array, "a list");
+      = get_required (reader, object, key, json_type_array, "a list");
   size_t length;
 
   *count = 0;
--- a/source/config/reader.h
+++ b/source/config/reader.h
@@ -2,10 +2,11 @@
 #define JACKDAWLADDER_CONFIG_READER_H
 
 /**
- * DOC: Reads JSON documents into structures.
+ * DOC: Reads values of JSON documents into structures.
  *
- * The first failure is kept, with the path of its value; later ones are
- * dropped. So a caller reads all fields and asks once at the end.
+ * A reader keeps the first error, with the path of the value, and discards any
+ * later one. A caller can thus read all values and check for an error once,
+ * with jl_reader_finish().
  */
 
 #include "jackdawladder/config.h"
@@ -13,9 +14,9 @@
 #include <json-c/json.h>
 
 /**
- * struct jl_reader - reads one document
- * @prefix: path of the object or list item being read, empty at the top
- * @error: the first failure, NULL while there is none
+ * struct jl_reader - state of reading a document
+ * @prefix: path of the current object or list item, empty for the document
+ * @error: the first error, or NULL
  */
 struct jl_reader
 {
@@ -24,23 +25,25 @@
 };
 
 /**
- * jl_reader_parse - reads the text of a document, an object at the top
+ * jl_reader_parse - parses a document, whose top-level value must be an object
+ * @text: @size bytes
  *
- * Return: to be freed with json_object_put(), or NULL after a failure.
+ * Return: the document, to be freed with json_object_put(), or NULL on error.
  */
 struct json_object *
 jl_reader_parse (struct jl_reader *reader, const char *text, size_t size);
 
 /**
- * jl_reader_finish - hands over the failure, if there was any
+ * jl_reader_finish - moves the error of @reader, if any, to @error
  *
- * Return: whether there was none.
+ * Return: whether there was no error.
  */
 bool jl_reader_finish (struct jl_reader *reader, GError **error);
 
 /**
- * jl_reader_fail - notes a failure
- * @key: of the value in the current object; NULL for the object itself
+ * jl_reader_fail - records an error, unless there is an earlier one
+ * @key: key of the invalid value; NULL for the current object itself
+ * @format: printf() format of the message that follows the path
  */
 void jl_reader_fail (struct jl_reader *reader,
                      const char *key,
@@ -49,34 +52,43 @@
                      ...) G_GNUC_PRINTF (4, 5);
 
 /**
- * jl_reader_enter - makes an item of a list the current object
+ * jl_reader_enter_item - makes item @index of @list the current object
  */
-void jl_reader_enter (struct jl_reader *reader, const char *list, size_t index);
+void
+jl_reader_enter_item (struct jl_reader *reader, const char *list, size_t index);
 
 /**
- * jl_reader_enter_object - makes an object below the top the current one
+ * jl_reader_enter_object - makes the object at @key the current object
  */
 void jl_reader_enter_object (struct jl_reader *reader, const char *key);
 
 /**
- * jl_reader_leave - makes the top the current object
+ * jl_reader_leave - makes the document the current object
  */
 void jl_reader_leave (struct jl_reader *reader);
 
 /**
- * jl_read_keys - refuses all keys of @object but @keys
- * @keys: ends with NULL
+ * jl_read_check_keys - rejects unknown keys of @object
+ * @keys: the known keys, terminated by NULL
  *
- * Return: false when @object is no object either.
+ * Return: false only if @object is not a JSON object. An unknown key sets the
+ * error of @reader.
  */
-bool jl_read_keys (struct jl_reader *reader,
-                   struct json_object *object,
-                   const char *const *keys);
+bool jl_read_check_keys (struct jl_reader *reader,
+                         struct json_object *object,
+                         const char *const *keys);
 
-bool jl_read_has (struct json_object *object, const char *key);
+/**
+ * jl_read_has_key - whether @object has a value at @key
+ */
+bool jl_read_has_key (struct json_object *object, const char *key);
 
 /**
- * jl_read_number - an integer that must be there
+ * jl_read_number - reads a required integer
+ * @low: smallest valid value
+ * @high: largest valid value
+ *
+ * Return: the integer, or 0 on error.
  */
 uint64_t jl_read_number (struct jl_reader *reader,
                          struct json_object *object,
@@ -85,23 +97,31 @@
                          int64_t high);
 
 /**
- * jl_read_number_or - an integer, @otherwise when it is not given
+ * jl_read_number_default - reads an optional integer
+ *
+ * Return: the integer, @default_value if @key is absent, or 0 on error.
  */
-uint64_t jl_read_number_or (struct jl_reader *reader,
-                            struct json_object *object,
-                            const char *key,
-                            int64_t low,
-                            int64_t high,
-                            uint64_t otherwise);
+uint64_t jl_read_number_default (struct jl_reader *reader,
+                                 struct json_object *object,
+                                 const char *key,
+                                 int64_t low,
+                                 int64_t high,
+                                 uint64_t default_value);
 
+/**
+ * jl_read_boolean - reads a required boolean
+ *
+ * Return: the boolean, or false on error.
+ */
 bool jl_read_boolean (struct jl_reader *reader,
                       struct json_object *object,
                       const char *key);
 
 /**
- * jl_read_text - printable ASCII without spaces
- * @object: an object, or the string itself when @key is NULL
- * @text: receives it; @size bytes with the final zero
+ * jl_read_text - reads a required string of printable ASCII without spaces
+ * @object: an object, or the string itself if @key is NULL
+ * @text: buffer of @size bytes for the string and its terminating NUL; set to
+ *        the empty string on error
  */
 void jl_read_text (struct jl_reader *reader,
                    struct json_object *object,
@@ -110,8 +130,8 @@
                    size_t size);
 
 /**
- * jl_read_name - lower-case letters, digits and dashes
- * @name: JL_NAME_SIZE bytes
+ * jl_read_name - reads a required name of lower-case letters, digits and dashes
+ * @name: buffer of JL_NAME_SIZE bytes
  */
 void jl_read_name (struct jl_reader *reader,
                    struct json_object *object,
@@ -119,7 +139,7 @@
                    char *name);
 
 /**
- * jl_read_endpoint - "a.b.c.d:port"
+ * jl_read_endpoint - reads a required string of the form "a.b.c.d:port"
  */
 void jl_read_endpoint (struct jl_reader *reader,
                        struct json_object *object,
@@ -127,8 +147,12 @@
                        struct jl_endpoint *endpoint);
 
 /**
- * jl_read_list - a list that must be there
- * @count: receives its length, 0 after a failure
+ * jl_read_list - reads a required list
+ * @low: smallest valid length
+ * @high: largest valid length
+ * @count: receives the length, 0 on error
+ *
+ * Return: the list, which belongs to @object, or NULL on error.
  */
 struct json_object *jl_read_list (struct jl_reader *reader,
                                   struct json_object *object,
--- a/source/config/settings.c
+++ b/source/config/settings.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Settings of one daemon process.
+ * DOC: Parsing and validation of the settings of a daemon process.
  */
 
 #include "jackdawladder/settings.h"
@@ -14,7 +14,7 @@
 #define DRAIN_DEFAULT_MS 600000
 #define DRAIN_MAX_MS 86400000
 
-static const char *const keys[]
+static const char *const settings_keys[]
     = { "name",       "zone",         "address",  "entry_port", "peer_port",
         "local_port", "control_port", "target",   "platform",   "seeds",
         "threads",    "mode",         "drain_ms", NULL };
@@ -28,7 +28,7 @@
   jl_read_text (reader, document, "address", text, sizeof text);
   if (inet_pton (AF_INET, text, &address) != 1 || address.s_addr == 0)
     jl_reader_fail (reader, "address", JL_CONFIG_ERROR_RANGE,
-                    "must be the IPv4 address that others use");
+                    "must be the IPv4 address that other instances connect to");
   return ntohl (address.s_addr);
 }
 
@@ -65,13 +65,13 @@
 {
   struct json_object *list;
 
-  if (!jl_read_has (document, "seeds"))
+  if (!jl_read_has_key (document, "seeds"))
     return;
   list = jl_read_list (reader, document, "seeds", 0, JL_SEED_MAX,
                        &settings->seed_count);
   for (uint32_t i = 0; i < settings->seed_count; i++)
     {
-      jl_reader_enter (reader, "seeds", i);
+      jl_reader_enter_item (reader, "seeds", i);
       jl_read_endpoint (reader, json_object_array_get_idx (list, i), NULL,
                         &settings->seeds[i]);
       jl_reader_leave (reader);
@@ -83,8 +83,8 @@
                    struct json_object *object,
                    const char *key)
 {
-  return (uint32_t)jl_read_number_or (reader, object, key, 1, THREADS_MAX,
-                                      THREADS_DEFAULT);
+  return (uint32_t)jl_read_number_default (reader, object, key, 1, THREADS_MAX,
+                                           THREADS_DEFAULT);
 }
 
 static void
@@ -101,7 +101,7 @@
   if (!json_object_object_get_ex (document, "threads", &object))
     return;
   jl_reader_enter_object (reader, "threads");
-  if (jl_read_keys (reader, object, thread_keys))
+  if (jl_read_check_keys (reader, object, thread_keys))
     {
       settings->entry_threads = read_thread_count (reader, object, "entry");
       settings->peer_threads = read_thread_count (reader, object, "peer");
@@ -118,7 +118,7 @@
                                        [JL_CORE_FORWARD] = "forward" };
   char name[JL_NAME_SIZE];
 
-  if (!jl_read_has (document, "mode"))
+  if (!jl_read_has_key (document, "mode"))
     return JL_CORE_FULL;
   jl_read_name (reader, document, "mode", name);
   for (size_t i = 0; i < G_N_ELEMENTS (names); i++)
@@ -134,19 +134,19 @@
                struct json_object *document,
                struct jl_settings *settings)
 {
-  jl_read_keys (reader, document, keys);
+  jl_read_check_keys (reader, document, settings_keys);
   jl_read_name (reader, document, "name", settings->name);
   jl_read_name (reader, document, "zone", settings->zone);
   settings->ip = read_address (reader, document);
   read_ports (reader, document, settings);
   jl_read_endpoint (reader, document, "target", &settings->target);
-  settings->has_platform = jl_read_has (document, "platform");
+  settings->has_platform = jl_read_has_key (document, "platform");
   if (settings->has_platform)
     jl_read_endpoint (reader, document, "platform", &settings->platform);
   read_seeds (reader, document, settings);
   read_threads (reader, document, settings);
   settings->mode = read_mode (reader, document);
-  settings->drain_ms = (uint32_t)jl_read_number_or (
+  settings->drain_ms = (uint32_t)jl_read_number_default (
       reader, document, "drain_ms", 0, DRAIN_MAX_MS, DRAIN_DEFAULT_MS);
 }
 
--- a/source/config/strict.c
+++ b/source/config/strict.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What json-c lets through and the project refuses.
+ * DOC: Strict lexical checks of JSON documents.
  */
 
 #include "config/strict.h"
@@ -7,28 +7,31 @@
 #include <string.h>
 
 /**
- * struct level - an array or object that is open
- * @keys: keys seen in it, NULL for an array
+ * struct container - an array or object whose closing bracket is still to come
+ * @keys: keys of the object so far, NULL for an array
  */
-struct level
+struct container
 {
   GHashTable *keys;
 };
 
 /**
- * struct scan - state of one scan
- * @text: copy whose comments are blanked
- * @at: next byte
- * @key_next: a string at this place is a key of the innermost object
+ * struct scan - state of a scan
+ * @text: copy of the document whose comments are replaced by spaces
+ * @size: length of @text in bytes
+ * @offset: offset of the next byte to scan
+ * @expects_key: whether a string at @offset is a key of the innermost object
+ * @depth: number of open arrays and objects
+ * @containers: the open arrays and objects, innermost last
  */
 struct scan
 {
   char *text;
   size_t size;
-  size_t at;
-  bool key_next;
+  size_t offset;
+  bool expects_key;
   int depth;
-  struct level levels[JL_STRICT_DEPTH_MAX];
+  struct container containers[JL_STRICT_DEPTH_MAX];
   GError **error;
 };
 
@@ -43,27 +46,30 @@
 }
 
 static bool
-refuse (struct scan *scan,
-        size_t at,
-        enum jl_config_error code,
-        const char *why)
+fail (struct scan *scan,
+      size_t offset,
+      enum jl_config_error code,
+      const char *message)
 {
   g_set_error (scan->error, JL_CONFIG_ERROR, (int)code, "line %u: %s",
-               jl_strict_line (scan->text, at), why);
+               jl_strict_line (scan->text, offset), message);
   return false;
 }
 
 static bool
-refuse_syntax (struct scan *scan, size_t at, const char *why)
+fail_syntax (struct scan *scan, size_t offset, const char *message)
 {
-  return refuse (scan, at, JL_CONFIG_ERROR_SYNTAX, why);
+  return fail (scan, offset, JL_CONFIG_ERROR_SYNTAX, message);
 }
 
-/* Overwrites @from up to the next byte with spaces, but for line ends. */
+/*
+ * Replaces the bytes from @start up to the current offset by spaces. Line ends
+ * stay, so that line numbers in errors are right.
+ */
 static void
-blank (struct scan *scan, size_t from)
+erase (struct scan *scan, size_t start)
 {
-  for (size_t i = from; i < scan->at; i++)
+  for (size_t i = start; i < scan->offset; i++)
     if (scan->text[i] != '\n')
       scan->text[i] = ' ';
 }
@@ -71,108 +77,109 @@
 static bool
 scan_line_comment (struct scan *scan)
 {
-  size_t start = scan->at;
+  size_t start = scan->offset;
 
-  while (scan->at < scan->size && scan->text[scan->at] != '\n')
-    scan->at++;
-  blank (scan, start);
+  while (scan->offset < scan->size && scan->text[scan->offset] != '\n')
+    scan->offset++;
+  erase (scan, start);
   return true;
 }
 
 static bool
 scan_block_comment (struct scan *scan)
 {
-  size_t start = scan->at;
+  size_t start = scan->offset;
   const char *end = strstr (scan->text + start + 2, "*/");
 
   if (end == NULL)
-    return refuse_syntax (scan, start, "comment without an end");
-  scan->at = (size_t)(end - scan->text) + 2;
-  blank (scan, start);
+    return fail_syntax (scan, start, "unterminated comment");
+  scan->offset = (size_t)(end - scan->text) + 2;
+  erase (scan, start);
   return true;
 }
 
 static bool
 scan_comment (struct scan *scan)
 {
-  char second = scan->text[scan->at + 1];
+  char second = scan->text[scan->offset + 1];
 
   if (second == '/')
     return scan_line_comment (scan);
   if (second == '*')
     return scan_block_comment (scan);
-  return refuse_syntax (scan, scan->at, "unexpected '/'");
+  return fail_syntax (scan, scan->offset, "unexpected '/'");
 }
 
-/* Moves past one escape sequence; the parser checks \u itself. */
+/* Scans one escape sequence. The JSON parser checks the digits of \u. */
 static bool
 scan_escape (struct scan *scan)
 {
-  char letter = scan->text[scan->at + 1];
+  char letter = scan->text[scan->offset + 1];
 
   if (letter == '\0' || strchr ("\"\\/bfnrtu", letter) == NULL)
-    return refuse_syntax (scan, scan->at, "unknown escape sequence");
-  scan->at += 2;
+    return fail_syntax (scan, scan->offset, "unknown escape sequence");
+  scan->offset += 2;
   return true;
 }
 
-/* Notes the key between @start and the next byte. */
+/* Records the key from @start up to the current offset; rejects duplicates. */
 static bool
-take_key (struct scan *scan, size_t start)
+record_key (struct scan *scan, size_t start)
 {
-  struct level *level = &scan->levels[scan->depth - 1];
-  g_autofree char *key = g_strndup (scan->text + start, scan->at - start);
-  g_autofree char *why = g_strdup_printf ("key \"%s\" is given twice", key);
+  struct container *container = &scan->containers[scan->depth - 1];
+  g_autofree char *key = g_strndup (scan->text + start, scan->offset - start);
+  g_autofree char *message = g_strdup_printf ("key \"%s\" is given twice", key);
 
-  scan->key_next = false;
+  scan->expects_key = false;
   if (strchr (key, '\\') != NULL)
-    return refuse (scan, start, JL_CONFIG_ERROR_KEY, "escape in a key");
-  if (!g_hash_table_add (level->keys, g_steal_pointer (&key)))
-    return refuse (scan, start, JL_CONFIG_ERROR_KEY, why);
+    return fail (scan, start, JL_CONFIG_ERROR_KEY, "escape sequence in a key");
+  if (!g_hash_table_add (container->keys, g_steal_pointer (&key)))
+    return fail (scan, start, JL_CONFIG_ERROR_KEY, message);
   return true;
 }
 
 static bool
 scan_string (struct scan *scan)
 {
-  size_t start = ++scan->at;
+  size_t start = ++scan->offset;
 
-  while (scan->at < scan->size && scan->text[scan->at] != '"')
+  while (scan->offset < scan->size && scan->text[scan->offset] != '"')
     {
-      if ((unsigned char)scan->text[scan->at] < ' ')
-        return refuse_syntax (scan, scan->at, "control character in a string");
-      if (scan->text[scan->at] != '\\')
-        scan->at++;
+      if ((unsigned char)scan->text[scan->offset] < ' ')
+        return fail_syntax (scan, scan->offset,
+                            "control character in a string");
+      if (scan->text[scan->offset] != '\\')
+        scan->offset++;
       else if (!scan_escape (scan))
         return false;
     }
-  if (scan->at >= scan->size)
-    return refuse_syntax (scan, start, "string without an end");
-  if (scan->key_next && !take_key (scan, start))
+  if (scan->offset >= scan->size)
+    return fail_syntax (scan, start, "unterminated string");
+  if (scan->expects_key && !record_key (scan, start))
     return false;
-  scan->at++;
+  scan->offset++;
   return true;
 }
 
 static size_t
-skip_digits (const char *text)
+count_digits (const char *text)
 {
   return strspn (text, "0123456789");
 }
 
-/* Length of the number at @text, 0 when it is none by RFC 8259. */
+/* Returns the length of the number at @text, 0 if it is invalid by RFC 8259. */
 static size_t
-measure_number (const char *text)
+number_length (const char *text)
 {
   const char *at = text + (*text == '-');
-  size_t digits = skip_digits (at);
+  size_t digits = count_digits (at);
 
   if (digits == 0 || (*at == '0' && digits > 1))
     return 0;
   at += digits;
   if (*at == '.')
     {
-      digits = skip_digits (at + 1);
+      digits = count_digits (at + 1);
       if (digits == 0)
         return 0;
       at += 1 + digits;
@@ -180,7 +187,7 @@
   if (*at == 'e' || *at == 'E')
     {
       at += 1 + (at[1] == '+' || at[1] == '-');
-      digits = skip_digits (at);
+      digits = count_digits (at);
       if (digits == 0)
         return 0;
       at += digits;
@@ -188,80 +195,81 @@
   return (size_t)(at - text);
 }
 
-/* Length of the literal or number at @text, 0 when it is neither. */
+/* Returns the length of the literal or number at @text, 0 if it is neither. */
 static size_t
-measure_word (const char *text)
+scalar_length (const char *text)
 {
   static const char *const literals[] = { "true", "false", "null" };
 
   for (size_t i = 0; i < G_N_ELEMENTS (literals); i++)
     if (g_str_has_prefix (text, literals[i]))
       return strlen (literals[i]);
-  return measure_number (text);
+  return number_length (text);
 }
 
 static bool
-scan_word (struct scan *scan)
+scan_scalar (struct scan *scan)
 {
-  const char *text = scan->text + scan->at;
-  size_t length = measure_word (text);
+  const char *text = scan->text + scan->offset;
+  size_t length = scalar_length (text);
 
   if (length == 0 || g_ascii_isalnum (text[length]) || text[length] == '.')
-    return refuse_syntax (scan, scan->at, "not a JSON value");
-  scan->at += length;
+    return fail_syntax (scan, scan->offset, "not a JSON value");
+  scan->offset += length;
   return true;
 }
 
 static bool
-open_level (struct scan *scan, bool object)
+open_container (struct scan *scan, bool object)
 {
-  struct level *level = &scan->levels[scan->depth];
+  struct container *container = &scan->containers[scan->depth];
 
   if (scan->depth == JL_STRICT_DEPTH_MAX)
-    return refuse_syntax (scan, scan->at, "nested too deep");
-  level->keys = NULL;
+    return fail_syntax (scan, scan->offset, "nested too deeply");
+  container->keys = NULL;
   if (object)
-    level->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+    container->keys
+        = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   scan->depth++;
-  scan->key_next = object;
-  scan->at++;
+  scan->expects_key = object;
+  scan->offset++;
   return true;
 }
 
 static void
-drop_level (struct scan *scan)
+pop_container (struct scan *scan)
 {
-  struct level *level = &scan->levels[--scan->depth];
+  struct container *container = &scan->containers[--scan->depth];
 
-  if (level->keys != NULL)
-    g_hash_table_unref (level->keys);
+  if (container->keys != NULL)
+    g_hash_table_unref (container->keys);
 }
 
 static bool
-close_level (struct scan *scan, bool object)
+close_container (struct scan *scan, bool object)
 {
   if (scan->depth == 0
-      || (scan->levels[scan->depth - 1].keys != NULL) != object)
-    return refuse_syntax (scan, scan->at, "bracket that closes nothing");
-  drop_level (scan);
-  scan->key_next = false;
-  scan->at++;
+      || (scan->containers[scan->depth - 1].keys != NULL) != object)
+    return fail_syntax (scan, scan->offset, "unmatched closing bracket");
+  pop_container (scan);
+  scan->expects_key = false;
+  scan->offset++;
   return true;
 }
 
 static bool
 scan_comma (struct scan *scan)
 {
-  scan->key_next
-      = scan->depth > 0 && scan->levels[scan->depth - 1].keys != NULL;
-  scan->at++;
+  scan->expects_key
+      = scan->depth > 0 && scan->containers[scan->depth - 1].keys != NULL;
+  scan->offset++;
   return true;
 }
 
 static bool
 scan_token (struct scan *scan)
 {
-  char c = scan->text[scan->at];
+  char c = scan->text[scan->offset];
 
   switch (c)
     {
@@ -270,7 +278,7 @@
     case '\r':
     case '\n':
     case ':':
-      scan->at++;
+      scan->offset++;
       return true;
     case '/':
       return scan_comment (scan);
@@ -280,12 +288,12 @@
       return scan_comma (scan);
     case '{':
     case '[':
-      return open_level (scan, c == '{');
+      return open_container (scan, c == '{');
     case '}':
     case ']':
-      return close_level (scan, c == '}');
+      return close_container (scan, c == '}');
     default:
-      return scan_word (scan);
+      return scan_scalar (scan);
     }
 }
 
@@ -294,18 +302,18 @@
 {
   struct scan scan = { .size = size, .error = error };
   const char *end = NULL;
-  bool good;
+  bool valid;
 
   scan.text = g_strndup (text, size);
   if (!g_utf8_validate (text, (gssize)size, &end))
-    good = refuse_syntax (&scan, (size_t)(end - text), "invalid UTF-8");
+    valid = fail_syntax (&scan, (size_t)(end - text), "invalid UTF-8");
   else
-    good = true;
-  while (good && scan.at < size)
-    good = scan_token (&scan);
+    valid = true;
+  while (valid && scan.offset < size)
+    valid = scan_token (&scan);
   while (scan.depth > 0)
-    drop_level (&scan);
-  if (good)
+    pop_container (&scan);
+  if (valid)
     return scan.text;
   g_free (scan.text);
   return NULL;
--- a/source/config/strict.h
+++ b/source/config/strict.h
@@ -2,28 +2,35 @@
 #define JACKDAWLADDER_CONFIG_STRICT_H
 
 /**
- * DOC: What json-c lets through and the project refuses.
+ * DOC: Strict lexical checks of JSON documents.
+ *
+ * The checks reject input that json-c accepts, such as duplicate keys and
+ * numbers that aren't valid JSON.
  */
 
 #include "jackdawladder/config.h"
 
-/* Arrays and objects within each other. */
+/* Maximum nesting depth of arrays and objects. */
 #define JL_STRICT_DEPTH_MAX 8
 
 /**
- * jl_strict_scan - checks the tokens of a document and blanks its comments
+ * jl_strict_scan - checks the tokens of a document and removes its comments
  * @text: @size bytes
  *
- * Refuses invalid UTF-8, tokens that are not JSON, deep nesting and duplicate
- * keys. The order of the tokens is left to the parser.
+ * Rejects invalid UTF-8, tokens that aren't valid JSON, mismatched brackets,
+ * excessive nesting and duplicate keys. It does not check the order of the
+ * tokens; the JSON parser does.
  *
- * Return: a copy of the same length whose comments are spaces, zero-terminated,
- * or NULL with @error set. Free with g_free().
+ * Return: a NUL-terminated copy of the same length with each comment replaced
+ * by spaces and line ends kept, to be freed with g_free(); or NULL with @error
+ * set.
  */
 char *jl_strict_scan (const char *text, size_t size, GError **error);
 
 /**
- * jl_strict_line - number of the line that holds byte @offset, from 1
+ * jl_strict_line - returns the number of the line that holds byte @offset
+ *
+ * Return: the line number, where 1 is the first line.
  */
 unsigned jl_strict_line (const char *text, size_t offset);
 
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -46,7 +46,7 @@
  * enum jl_call_state - where a call of the entry stands
  * @JL_CALL_CLAIMING: waits for JL_EVENT_CLAIM_RESULT
  * @JL_CALL_SENT: one sending is out
- * @JL_CALL_FORWARDED: sent on to the minter of its ticket
+ * @JL_CALL_FORWARDED: sent on to the issuer of its ticket
  * @JL_CALL_CANCELLING: waits for the guard to confirm a cancellation
  */
 enum jl_call_state
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -89,7 +89,7 @@
     {
       struct jl_call *call = value;
 
-      jl_config_drop (call->config);
+      jl_config_unref (call->config);
       g_free (call);
     }
   g_hash_table_iter_init (&iterator, core->works);
@@ -97,7 +97,7 @@
     {
       struct jl_work *work = value;
 
-      jl_config_drop (work->config);
+      jl_config_unref (work->config);
       g_free (work);
     }
 }
@@ -121,7 +121,7 @@
   jl_timers_drop (core->timers);
   g_rand_free (core->random);
   if (core->config != NULL)
-    jl_config_drop (core->config);
+    jl_config_unref (core->config);
   g_free (core);
 }
 
@@ -133,8 +133,8 @@
       && !JL_SWITCHED_OFF (core, JL_MECHANISM_CONFIG_ORDER))
     return;
   if (core->config != NULL)
-    jl_config_drop (core->config);
-  core->config = jl_config_keep (config);
+    jl_config_unref (core->config);
+  core->config = jl_config_ref (config);
   jl_members_config (core);
   jl_guard_config (core);
   jl_graph_config (core);
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -194,7 +194,7 @@
     }
 }
 
-/* The minter of the ticket has answered, or cannot be reached. */
+/* The issuer of the ticket has answered, or cannot be reached. */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
--- a/source/core/entry-send.c
+++ b/source/core/entry-send.c
@@ -35,11 +35,11 @@
 void
 jl_entry_forward (struct jl_core *core, struct jl_call *call)
 {
-  struct jl_member *minter = jl_members_find (core, call->ticket.minter.member);
+  struct jl_member *issuer = jl_members_find (core, call->ticket.issuer.member);
   struct jl_effect_forward *forward;
 
-  if (call->forwarded || minter == NULL
-      || minter->info.identity.epoch != call->ticket.minter.epoch)
+  if (call->forwarded || issuer == NULL
+      || issuer->info.identity.epoch != call->ticket.issuer.epoch)
     {
       answer_unforwarded (core, call, JL_REASON_HOME_LOST);
       return;
@@ -50,13 +50,13 @@
       return;
     }
   call->state = JL_CALL_FORWARDED;
-  call->member = call->ticket.minter.member;
-  call->member_epoch = call->ticket.minter.epoch;
+  call->member = call->ticket.issuer.member;
+  call->member_epoch = call->ticket.issuer.epoch;
   begin_attempt (core, call);
   forward = &jl_emit (core, JL_EFFECT_FORWARD)->forward;
   forward->call = call->number;
   forward->attempt = call->attempt;
-  forward->peer = minter->info.peer;
+  forward->peer = issuer->info.peer;
   forward->ticket = call->ticket;
   forward->kind = call->kind;
   forward->config_version = call->config->version;
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -79,7 +79,7 @@
   if (call->state == JL_CALL_CANCELLING)
     g_hash_table_remove (core->cancelling, JL_HASH_KEY (call->attempt.number));
   g_hash_table_remove (core->calls, JL_HASH_KEY (call->number));
-  jl_config_drop (call->config);
+  jl_config_unref (call->config);
   g_free (call);
 }
 
@@ -202,7 +202,7 @@
   const struct jl_kind *kind = &core->config->kinds[event->kind];
 
   call->number = event->call;
-  call->config = jl_config_keep (core->config);
+  call->config = jl_config_ref (core->config);
   call->kind = event->kind;
   call->forwarded = event->forwarded;
   call->keyed = event->key_type != JL_KEY_NONE;
@@ -228,11 +228,11 @@
   return call;
 }
 
-/* Only the minter of its ticket may send a guarded call. */
+/* Only the issuer of its ticket may send a guarded call. */
 static void
 proceed_guarded (struct jl_core *core, struct jl_call *call)
 {
-  if (call->ticket.minter.member != core->identity.member)
+  if (call->ticket.issuer.member != core->identity.member)
     {
       jl_entry_forward (core, call);
       return;
--- a/source/core/entry.h
+++ b/source/core/entry.h
@@ -40,7 +40,7 @@
 void jl_entry_proceed (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_entry_forward - sends @call on to the minter of its ticket
+ * jl_entry_forward - sends @call on to the issuer of its ticket
  */
 void jl_entry_forward (struct jl_core *core, struct jl_call *call);
 
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -54,7 +54,7 @@
   core->target.service = JL_NONE;
   if (core->config != NULL)
     core->target.service
-        = jl_config_service (core->config, core->target.service_name);
+        = jl_config_find_service (core->config, core->target.service_name);
 }
 
 void
@@ -157,7 +157,7 @@
   struct jl_work *work = g_new0 (struct jl_work, 1);
 
   work->number = event->work;
-  work->config = jl_config_keep (core->config);
+  work->config = jl_config_ref (core->config);
   work->attempt = event->attempt;
   work->kind = event->kind;
   work->priority = event->priority % JL_PRIORITY_COUNT;
@@ -226,7 +226,7 @@
   fill_report (core, &finish->report, work);
   jl_timer_stop (core->timers, &work->timer);
   g_hash_table_remove (core->works, JL_HASH_KEY (work->number));
-  jl_config_drop (work->config);
+  jl_config_unref (work->config);
   g_free (work);
   return finish;
 }
@@ -379,7 +379,7 @@
   jl_timer_start (core->timers, &core->drain_linger,
                   core->now_us + DRAIN_LINGER_US, linger_ended, core);
   jl_members_leave (core);
-  jl_log_event (core, JL_LOG_DRAIN_BEGUN, 0, 0);
+  jl_log_event (core, JL_LOG_DRAIN_STARTED, 0, 0);
 }
 
 void
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -33,7 +33,8 @@
   cds_list_del_init (&member->by_service);
   member->service = JL_NONE;
   if (core->config != NULL)
-    member->service = jl_config_service (core->config, member->info.service);
+    member->service
+        = jl_config_find_service (core->config, member->info.service);
   if (member->service != JL_NONE)
     cds_list_add_tail (&member->by_service,
                        &core->members->by_service[member->service]);
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -174,7 +174,7 @@
 struct jl_ticket
 jl_once_mint (struct jl_core *core)
 {
-  struct jl_ticket ticket = { .minter = core->identity };
+  struct jl_ticket ticket = { .issuer = core->identity };
 
   expire_marks (core);
   ticket.number = ++core->once->minted;
@@ -270,7 +270,7 @@
 static bool
 is_valid (const struct jl_core *core, struct jl_ticket ticket)
 {
-  return jl_identity_equal (ticket.minter, core->identity)
+  return jl_identity_equal (ticket.issuer, core->identity)
          && ticket.number <= core->once->minted
          && ticket.number > core->once->expired_below;
 }
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -30,7 +30,7 @@
 jl_once_derive (struct jl_ticket anchor, const char *kind, uint32_t ordinal);
 
 /**
- * jl_once_arrive - a call under a ticket arrives at its minter
+ * jl_once_arrive - a call under a ticket arrives at its issuer
  *
  * Return: true when it may be sent. On false it has been answered.
  */
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -260,7 +260,8 @@
 
   if (call->config == core->config)
     return service;
-  return jl_config_service (core->config, call->config->services[service].name);
+  return jl_config_find_service (core->config,
+                                 call->config->services[service].name);
 }
 
 /*
--- a/source/daemon/background.c
+++ b/source/daemon/background.c
@@ -48,7 +48,8 @@
   if (reached == !background->platform_lost)
     return;
   background->platform_lost = !reached;
-  jl_log (reached ? JL_LOG_PLATFORM_BACK : JL_LOG_PLATFORM_LOST, 0, 0);
+  jl_log (reached ? JL_LOG_PLATFORM_REACHABLE : JL_LOG_PLATFORM_UNREACHABLE, 0,
+          0);
 }
 
 static uint64_t
@@ -91,7 +92,7 @@
   if (config != NULL)
     {
       installed = config->version;
-      jl_config_drop (config);
+      jl_config_unref (config);
     }
   if (applied.version > installed)
     jl_daemon_install (daemon, applied.text, strlen (applied.text),
@@ -160,7 +161,7 @@
                                .target = "/jl/config",
                                .request = &request,
                                .timeout_us = FETCH_TIMEOUT_US,
-                               .answer_max = JL_CONFIG_SIZE_MAX };
+                               .answer_max = JL_CONFIG_BYTES_MAX };
   const char *text;
   uint64_t version;
   uint32_t status;
--- a/source/daemon/call.c
+++ b/source/daemon/call.c
@@ -92,7 +92,7 @@
   result->tokens = run.finish.tokens;
   result->report = run.finish.report;
   if (run.config != NULL)
-    jl_config_drop (run.config);
+    jl_config_unref (run.config);
 }
 
 /* Takes what the other daemon says from its answer's headers. */
@@ -423,9 +423,9 @@
   if (!call->has_body)
     return JL_NONE;
   if (call->incoming->forward != NULL)
-    return jl_config_kind (call->config, call->incoming->forward->kind);
-  return jl_config_match (call->config, call->exchange->method,
-                          call->exchange->path);
+    return jl_config_find_kind (call->config, call->incoming->forward->kind);
+  return jl_config_match_kind (call->config, call->exchange->method,
+                               call->exchange->path);
 }
 
 /* Names go to numbers under the lock, so that they fit the reducer's. */
@@ -447,7 +447,7 @@
   event.call.call = call->waiter.number;
   if (daemon->config != NULL)
     {
-      call->config = jl_config_keep (daemon->config);
+      call->config = jl_config_ref (daemon->config);
       call->kind = find_kind (call);
       event.call.kind = call->kind;
       event.call.config_version = call->config->version;
@@ -498,10 +498,10 @@
 
   if (config == NULL)
     return 0;
-  kind = jl_config_match (config, exchange->method, exchange->path);
+  kind = jl_config_match_kind (config, exchange->method, exchange->path);
   if (kind != JL_NONE)
     limit = config->kinds[kind].request_bytes;
-  jl_config_drop (config);
+  jl_config_unref (config);
   return limit;
 }
 
@@ -544,5 +544,5 @@
   jl_waiter_clear (&call.waiter);
   jl_http_message_clear (&call.answer);
   if (call.config != NULL)
-    jl_config_drop (call.config);
+    jl_config_unref (call.config);
 }
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -122,7 +122,7 @@
   struct jl_config *old = daemon->config;
 
   /* Releases as rcu_assign_pointer() does, and where sanitizers see it. */
-  __atomic_store_n (&daemon->config, jl_config_keep (config), __ATOMIC_RELEASE);
+  __atomic_store_n (&daemon->config, jl_config_ref (config), __ATOMIC_RELEASE);
   daemon->retired = old;
 }
 
@@ -234,7 +234,7 @@
   if (retired != NULL)
     {
       synchronize_rcu ();
-      jl_config_drop (retired);
+      jl_config_unref (retired);
     }
 }
 
@@ -270,7 +270,7 @@
   rcu_read_lock ();
   config = __atomic_load_n (&daemon->config, __ATOMIC_ACQUIRE);
   if (config != NULL)
-    jl_config_keep (config);
+    jl_config_ref (config);
   rcu_read_unlock ();
   return config;
 }
@@ -291,7 +291,7 @@
       return false;
     }
   jl_daemon_post (daemon, &event);
-  jl_config_drop (config);
+  jl_config_unref (config);
   return true;
 }
 
@@ -523,7 +523,7 @@
   jl_effects_drop (daemon->effects);
   jl_answer_store_drop (daemon->answers);
   if (daemon->config != NULL)
-    jl_config_drop (daemon->config);
+    jl_config_unref (daemon->config);
   g_array_free (daemon->outgoing, TRUE);
   g_queue_clear_full (&daemon->background, g_free);
   g_hash_table_destroy (daemon->calls);
--- a/source/daemon/entry.c
+++ b/source/daemon/entry.c
@@ -36,7 +36,7 @@
   else
     jl_answer_plain (exchange, 200, "ready");
   if (config != NULL)
-    jl_config_drop (config);
+    jl_config_unref (config);
 }
 
 void
@@ -64,10 +64,10 @@
 
   if (config == NULL)
     return 0;
-  index = jl_config_kind (config, kind);
+  index = jl_config_find_kind (config, kind);
   if (index != JL_NONE)
     limit = config->kinds[index].request_bytes;
-  jl_config_drop (config);
+  jl_config_unref (config);
   return limit;
 }
 
@@ -130,7 +130,7 @@
   answer_guarded (exchange, &run);
   jl_http_message_clear (&run.answer);
   if (run.config != NULL)
-    jl_config_drop (run.config);
+    jl_config_unref (run.config);
 }
 
 static void
@@ -163,7 +163,7 @@
   jl_http_add_number (&exchange->answer, "Jl-Config-Version", config->version);
   g_string_append_len (exchange->answer.body, config->text,
                        (gssize)config->text_size);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 void
--- a/source/daemon/local.c
+++ b/source/daemon/local.c
@@ -148,7 +148,7 @@
   struct jl_config *config = jl_daemon_get_config (daemon);
   bool newer = config != NULL && config->version > version;
 
-  jl_config_drop (config);
+  jl_config_unref (config);
   return newer;
 }
 
@@ -164,7 +164,7 @@
   if (text == NULL
       || !g_ascii_string_to_unsigned (text, 10, 1, INT64_MAX, &version, NULL))
     jl_answer_plain (exchange, 400, "want Jl-Config-Version");
-  else if (jl_http_read_body (exchange, JL_CONFIG_SIZE_MAX)
+  else if (jl_http_read_body (exchange, JL_CONFIG_BYTES_MAX)
            != JL_HTTP_BODY_WHOLE)
     jl_answer_plain (exchange, 413, "document too large or broken");
   else if (!jl_daemon_install (daemon, body->str, body->len, version, &error))
--- a/source/daemon/work.c
+++ b/source/daemon/work.c
@@ -73,8 +73,8 @@
   run->event.kind = JL_NONE;
   if (daemon->config != NULL)
     {
-      run->config = jl_config_keep (daemon->config);
-      run->event.kind = jl_config_kind (run->config, run->kind);
+      run->config = jl_config_ref (daemon->config);
+      run->event.kind = jl_config_find_kind (run->config, run->kind);
       run->event.config_version = run->config->version;
     }
   g_hash_table_insert (daemon->works, &waiter->number, waiter);
--- a/source/http/peer.c
+++ b/source/http/peer.c
@@ -186,7 +186,7 @@
     return;
   memcpy (name, text, (size_t)(equals - text));
   name[equals - text] = '\0';
-  service = jl_config_service (config, name);
+  service = jl_config_find_service (config, name);
   if (service == JL_NONE
       || !parse_number_32 (equals + 1, JL_PRIORITY_COUNT, &level))
     return;
--- a/source/proxy/options.c
+++ b/source/proxy/options.c
@@ -84,7 +84,7 @@
       = (uint16_t)jl_read_number (reader, document, "peer_port", 1, UINT16_MAX);
   options->advertise.ip = options->ip;
   options->advertise.port = options->peer_port;
-  if (jl_read_has (document, "advertise"))
+  if (jl_read_has_key (document, "advertise"))
     jl_read_endpoint (reader, document, "advertise", &options->advertise);
   options->metrics_port = (uint16_t)jl_read_number (
       reader, document, "metrics_port", 1, UINT16_MAX);
@@ -108,7 +108,7 @@
   struct json_object *document = jl_reader_parse (&reader, text, size);
   struct jl_options *options = g_new0 (struct jl_options, 1);
 
-  if (document != NULL && jl_read_keys (&reader, document, keys))
+  if (document != NULL && jl_read_check_keys (&reader, document, keys))
     read_fields (&reader, document, options);
   options->digest = XXH3_64bits (text, size);
   json_object_put (document);
--- a/source/tool/config.c
+++ b/source/tool/config.c
@@ -52,7 +52,7 @@
     printf ("%s: valid; services %u, kinds %u, classes %u, zones %u\n",
             tool->file, config->service_count, config->kind_count,
             config->class_count, config->zone_count);
-  jl_config_drop (config);
+  jl_config_unref (config);
   return TOOL_OK;
 }
 
@@ -187,7 +187,7 @@
     report_apply (tool, config, version);
   else
     status = fail_platform (tool, error);
-  jl_config_drop (config);
+  jl_config_unref (config);
   return status;
 }
 
--- a/tests/bench/reducer.c
+++ b/tests/bench/reducer.c
@@ -127,7 +127,7 @@
 {
   jl_core_drop (bench->core);
   jl_effects_drop (bench->effects);
-  jl_config_drop (bench->config);
+  jl_config_unref (bench->config);
 }
 
 static const struct jl_effect *
--- a/tests/fuzz/config.c
+++ b/tests/fuzz/config.c
@@ -22,7 +22,7 @@
       if (kind->service >= config->service_count
           || kind->importance >= config->class_count || kind->deadline_us == 0)
         abort ();
-      if (jl_config_match (config, kind->method, kind->path) > i)
+      if (jl_config_match_kind (config, kind->method, kind->path) > i)
         abort ();
     }
 }
@@ -39,6 +39,6 @@
   if (config != NULL)
     check (config, data, size);
   g_clear_error (&error);
-  jl_config_drop (config);
+  jl_config_unref (config);
   return 0;
 }
--- a/tests/random/world.c
+++ b/tests/random/world.c
@@ -336,7 +336,7 @@
 static void
 drop_config (gpointer config)
 {
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 struct world *
--- a/tests/scripted/commands.c
+++ b/tests/scripted/commands.c
@@ -68,7 +68,7 @@
   if (!g_file_get_contents (path, &text, &size, NULL))
     script_fail (command, "configuration not readable");
   if (run->config != NULL)
-    jl_config_drop (run->config);
+    jl_config_unref (run->config);
   run->config = jl_config_new (text, size,
                                script_number (command, "version", 1), &error);
   if (run->config == NULL)
@@ -191,7 +191,7 @@
   for (char **item = items; *item != NULL && **item != '\0'; item++)
     {
       char **parts = g_strsplit (*item, ":", 2);
-      uint32_t service = jl_config_service (run->config, parts[0]);
+      uint32_t service = jl_config_find_service (run->config, parts[0]);
 
       if (parts[1] == NULL || service == JL_NONE
           || report->count == JL_REPORT_MAX)
--- a/tests/scripted/run.c
+++ b/tests/scripted/run.c
@@ -70,7 +70,7 @@
   g_hash_table_destroy (run->attempts);
   g_hash_table_destroy (run->works);
   if (run->config != NULL)
-    jl_config_drop (run->config);
+    jl_config_unref (run->config);
   g_free (run);
 }
 
--- a/tests/support/network.c
+++ b/tests/support/network.c
@@ -164,8 +164,8 @@
   if (node->config != NULL && node->config->version >= config->version)
     return;
   if (node->config != NULL)
-    jl_config_drop (node->config);
-  node->config = jl_config_keep (config);
+    jl_config_unref (node->config);
+  node->config = jl_config_ref (config);
   step (node, &event);
 }
 
@@ -297,7 +297,7 @@
   jl_timer_stop (network->timers, &node->announce);
   g_ptr_array_set_size (node->backlog, 0);
   if (node->config != NULL)
-    jl_config_drop (node->config);
+    jl_config_unref (node->config);
   node->config = NULL;
   node->target_up = false;
   node->frozen = false;
@@ -396,7 +396,7 @@
   if (config == NULL)
     g_error ("test configuration: %s", error->message);
   install (&network->nodes[index], config);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 void
--- a/tests/support/print.c
+++ b/tests/support/print.c
@@ -328,7 +328,7 @@
                const struct jl_effect_forward *forward)
 {
   g_string_append_printf (out, "forward %" PRIu64, forward->call);
-  print_member (out, "to", forward->ticket.minter.member);
+  print_member (out, "to", forward->ticket.issuer.member);
   print_number (out, "attempt", forward->attempt.number);
   print_ticket (out, "ticket", forward->ticket);
   print_kind (out, config, forward->kind);
--- a/tests/support/site.c
+++ b/tests/support/site.c
@@ -353,7 +353,7 @@
   for (uint32_t node = 0; node < site->count; node++)
     jl_core_drop (site->cores[node]);
   jl_effects_drop (site->effects);
-  jl_config_drop (site->config);
+  jl_config_unref (site->config);
   g_sequence_free (site->pending);
   g_hash_table_destroy (site->works);
   g_hash_table_destroy (site->statuses);
--- a/tests/unit/config.c
+++ b/tests/unit/config.c
@@ -1,5 +1,6 @@
 /**
- * DOC: The configuration document: what is taken, what is refused and where.
+ * DOC: Tests of the validation of the configuration document and of the
+ * location in its error messages.
  */
 
 #include <criterion/criterion.h>
@@ -27,7 +28,7 @@
       "  ]\n"
       "}\n";
 
-/* The document with the first @from in it replaced by @to. */
+/* Returns the document with the first occurrence of @from replaced by @to. */
 static char *
 replace (const char *from, const char *to)
 {
@@ -47,7 +48,7 @@
   GError *error = NULL;
   struct jl_config *config = jl_config_new (text, size, 1, &error);
 
-  cr_assert_null (config, "taken: %s", text);
+  cr_assert_null (config, "accepted: %s", text);
   cr_assert_not_null (error);
   cr_assert_eq (error->domain, JL_CONFIG_ERROR);
   cr_expect_str_eq (error->message, message);
@@ -57,7 +58,7 @@
 }
 
 static struct jl_config *
-read_good (const char *text)
+parse_valid (const char *text)
 {
   GError *error = NULL;
   struct jl_config *config = jl_config_new (text, strlen (text), 9, &error);
@@ -68,7 +69,7 @@
 
 Test (config, keeps_every_value)
 {
-  struct jl_config *config = read_good (document);
+  struct jl_config *config = parse_valid (document);
   const struct jl_kind *buy = &config->kinds[0];
 
   cr_assert_eq (config->version, 9);
@@ -92,12 +93,12 @@
   cr_assert_eq (buy->retry_tokens, 3);
   cr_assert_eq (buy->request_bytes, 100);
   cr_assert_eq (buy->answer_bytes, 200);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 Test (config, fills_in_defaults)
 {
-  struct jl_config *config = read_good (document);
+  struct jl_config *config = parse_valid (document);
   const struct jl_kind *look = &config->kinds[1];
 
   cr_assert_eq (config->services[0].queue_wait_us, 20000);
@@ -107,35 +108,39 @@
   cr_assert_eq (look->retry_tokens, 2);
   cr_assert_eq (look->request_bytes, 1 << 20);
   cr_assert_eq (look->answer_bytes, 1 << 20);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 Test (config, matches_the_first_kind)
 {
-  struct jl_config *config = read_good (document);
-
-  cr_assert_eq (jl_config_match (config, "POST", "/buy/ticket"), 0);
-  cr_assert_eq (jl_config_match (config, "GET", "/buy/ticket"), 1);
-  cr_assert_eq (jl_config_match (config, "POST", "/bu"), 1);
-  cr_assert_eq (jl_config_match (config, "GET", "*"), JL_NONE);
-  cr_assert_eq (jl_config_service (config, "back"), 1);
-  cr_assert_eq (jl_config_service (config, "bac"), JL_NONE);
-  jl_config_drop (config);
+  struct jl_config *config = parse_valid (document);
+
+  cr_assert_eq (jl_config_match_kind (config, "POST", "/buy/ticket"), 0);
+  cr_assert_eq (jl_config_match_kind (config, "GET", "/buy/ticket"), 1);
+  cr_assert_eq (jl_config_match_kind (config, "POST", "/bu"), 1);
+  cr_assert_eq (jl_config_match_kind (config, "GET", "*"), JL_NONE);
+  cr_assert_eq (jl_config_find_service (config, "back"), 1);
+  cr_assert_eq (jl_config_find_service (config, "bac"), JL_NONE);
+  jl_config_unref (config);
 }
 
 Test (config, lives_until_the_last_reference)
 {
-  struct jl_config *config = read_good (document);
+  struct jl_config *config = parse_valid (document);
 
-  cr_assert_eq (jl_config_keep (config), config);
-  jl_config_drop (config);
+  cr_assert_eq (jl_config_ref (config), config);
+  jl_config_unref (config);
   cr_assert_eq (config->kind_count, 2);
-  jl_config_drop (config);
-  jl_config_drop (NULL);
+  jl_config_unref (config);
+  jl_config_unref (NULL);
 }
 
 /**
- * struct edit - a change of the document, and how it is refused
+ * struct edit - a change that makes the document invalid
+ * @from: text to replace
+ * @to: replacement
+ * @code: expected error code
+ * @message: expected error message
  */
 struct edit
 {
@@ -182,20 +187,20 @@
       "line 4: unknown escape sequence" },
     { "\"z-1\"", "\"z\xff\"", JL_CONFIG_ERROR_SYNTAX, "line 4: invalid UTF-8" },
     { "\"z-1\"", "[[[[[[0]]]]]]", JL_CONFIG_ERROR_SYNTAX,
-      "line 4: nested too deep" },
+      "line 4: nested too deeply" },
     { "/* two", "/ two", JL_CONFIG_ERROR_SYNTAX, "line 2: unexpected '/'" },
     { "lines */", "lines", JL_CONFIG_ERROR_SYNTAX,
-      "line 2: comment without an end" },
+      "line 2: unterminated comment" },
     { "}\n  ]\n}\n", "}\n  ]\n", JL_CONFIG_ERROR_SYNTAX,
       "line 15: unexpected end of data" },
     { "}\n  ]\n}\n", "}\n  ]\n}}\n", JL_CONFIG_ERROR_SYNTAX,
-      "line 15: bracket that closes nothing" },
+      "line 15: unmatched closing bracket" },
     { "}\n  ]\n}\n", "}\n  ]\n}\n{}\n", JL_CONFIG_ERROR_SYNTAX,
       "line 16: unexpected character" },
     { "}\n  ]\n}\n", "}\n  ]\n}\n.\n", JL_CONFIG_ERROR_SYNTAX,
       "line 16: not a JSON value" },
     { "}\n  ]\n}\n", "}\n  ]\n}\n\"", JL_CONFIG_ERROR_SYNTAX,
-      "line 16: string without an end" },
+      "line 16: unterminated string" },
   };
 
   assert_edits_refused (edits, G_N_ELEMENTS (edits));
@@ -214,7 +219,7 @@
     { "\"region\"", "\"name\"", JL_CONFIG_ERROR_KEY,
       "line 4: key \"name\" is given twice" },
     { "\"region\"", "\"n\\u0061me\"", JL_CONFIG_ERROR_KEY,
-      "line 4: escape in a key" },
+      "line 4: escape sequence in a key" },
     { ", \"region\": \"r-1\"", "", JL_CONFIG_ERROR_KEY,
       "zones[0].region: is missing" },
     { "{\"name\": \"front\", \"retry_percent\": 7}", "{}", JL_CONFIG_ERROR_KEY,
@@ -291,7 +296,7 @@
     { "\"buy\"", "\"b123456789012345678901234567890123456789012345678\"",
       JL_CONFIG_ERROR_RANGE, "kinds[0].name: must have 1 to 47 characters" },
     { "\"buy\"", "\"Buy\"", JL_CONFIG_ERROR_RANGE,
-      "kinds[0].name: must be of lower-case letters, digits and dashes" },
+      "kinds[0].name: must consist of lower-case letters, digits and dashes" },
     { "\"buy\"", "\"b\\u0000uy\"", JL_CONFIG_ERROR_RANGE,
       "kinds[0].name: must be printable ASCII without spaces" },
     { "\"/buy\"", "\"buy\"", JL_CONFIG_ERROR_RANGE,
@@ -305,12 +310,12 @@
     { "\"POST\"", "\"POSTPOSTPOSTPOST\"", JL_CONFIG_ERROR_RANGE,
       "kinds[0].method: must have 1 to 15 characters" },
   };
-  char *large = g_malloc0 (JL_CONFIG_SIZE_MAX + 1);
+  char *large = g_malloc0 (JL_CONFIG_BYTES_MAX + 1);
 
   assert_edits_refused (edits, G_N_ELEMENTS (edits));
   assert_refused ("", 0, JL_CONFIG_ERROR_RANGE,
                   "document: must have 1 to 262144 bytes");
-  assert_refused (large, JL_CONFIG_SIZE_MAX + 1, JL_CONFIG_ERROR_RANGE,
+  assert_refused (large, JL_CONFIG_BYTES_MAX + 1, JL_CONFIG_ERROR_RANGE,
                   "document: must have 1 to 262144 bytes");
   g_free (large);
 }
@@ -332,15 +337,15 @@
   static const struct edit edits[] = {
     { "\"path\": \"/\"", "\"method\": \"POST\", \"path\": \"/buy/more\"",
       JL_CONFIG_ERROR_REFERENCE,
-      "kinds[1].path: never matches, kinds[0] takes all its requests" },
+      "kinds[1].path: never matches, kinds[0] matches all its requests" },
     { "\"method\": \"POST\",\n     \"path\": \"/buy\"",
       "\"method\": \"*\",\n     \"path\": \"/\"", JL_CONFIG_ERROR_REFERENCE,
-      "kinds[1].path: never matches, kinds[0] takes all its requests" },
+      "kinds[1].path: never matches, kinds[0] matches all its requests" },
   };
   char *text = replace ("\"path\": \"/\"", "\"path\": \"/buy/more\"");
 
   assert_edits_refused (edits, G_N_ELEMENTS (edits));
-  jl_config_drop (read_good (text));
+  jl_config_unref (parse_valid (text));
   g_free (text);
 }
 
@@ -352,7 +357,7 @@
 
   cr_assert_not_null (config);
   cr_assert_str_eq (config->text, document);
-  jl_config_drop (config);
+  jl_config_unref (config);
   g_free (text);
 }
 
@@ -363,11 +368,11 @@
   struct jl_config *config;
 
   cr_assert (g_file_get_contents (path, &text, NULL, NULL), "%s", path);
-  config = read_good (text);
+  config = parse_valid (text);
   cr_assert_str_eq (config->classes[0], first_class);
   cr_assert_eq (config->zone_count, zones);
   cr_assert_eq (config->service_count, 4);
-  jl_config_drop (config);
+  jl_config_unref (config);
   g_free (text);
 }
 
--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -30,7 +30,7 @@
 Test (forward, nothing_is_forwarded_past_its_deadline)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket anchor = { .minter = { OTHER, OTHER_EPOCH }, .number = 4 };
+  struct jl_ticket anchor = { .issuer = { OTHER, OTHER_EPOCH }, .number = 4 };
   uint64_t parent;
 
   join_other (rig);
@@ -161,7 +161,7 @@
 Test (forward, forward_without_an_answer_is_cancelled_until_that_is_answered)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = { .minter = { OTHER, OTHER_EPOCH }, .number = 4 };
+  struct jl_ticket ticket = { .issuer = { OTHER, OTHER_EPOCH }, .number = 4 };
   struct jl_message message = { .type = JL_MESSAGE_CANCEL_LATE };
   struct jl_event late = { .type = JL_EVENT_MESSAGE, .message = &message };
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
--- a/tests/unit/once.c
+++ b/tests/unit/once.c
@@ -96,7 +96,7 @@
   struct jl_ticket ticket = rig_mint (rig);
   struct jl_ticket other = ticket;
 
-  other.minter.epoch--;
+  other.issuer.epoch--;
   expect_refused_as_unknown (rig, other);
   other = ticket;
   other.number += 1000;
@@ -104,7 +104,7 @@
   other.number = 0;
   expect_refused_as_unknown (rig, other);
   other = ticket;
-  other.minter.member = OTHER;
+  other.issuer.member = OTHER;
   expect_refused_as_unknown (rig, other);
   rig_drop (rig);
 }
@@ -206,7 +206,7 @@
 Test (once, keys_are_bounded)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket lost = { .minter = { OTHER, 1 }, .number = 1 };
+  struct jl_ticket lost = { .issuer = { OTHER, 1 }, .number = 1 };
 
   for (uint64_t key = 1; key <= 70000; key++)
     call_key (rig, key, lost);
@@ -217,7 +217,7 @@
 Test (once, key_whose_daemon_has_restarted_is_unknown)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket before = { .minter = { SELF, EPOCH - 1 }, .number = 1 };
+  struct jl_ticket before = { .issuer = { SELF, EPOCH - 1 }, .number = 1 };
 
   call_key (rig, 1, before);
   cr_assert_null (rig_find (rig, JL_EFFECT_SEND));
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -52,7 +52,7 @@
 
   cr_assert_not_null (config);
   rig_step (rig, &event);
-  jl_config_drop (config);
+  jl_config_unref (config);
   rig->version = version;
 }
 
--- a/tests/unit/place.c
+++ b/tests/unit/place.c
@@ -178,7 +178,7 @@
       cr_expect_leq (entries[target], CONNECTIONS);
       cr_expect_gt (entries[target], 0);
     }
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 /* Calls stay in the own zone until its targets are full. */
@@ -205,7 +205,7 @@
   cr_expect_gt (own, 0);
   cr_expect_gt (other, 0);
   close_entry (&entry);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 /* A member that cannot be reached makes room for the next in the subset. */
@@ -244,7 +244,7 @@
       cr_expect_not (entry.used[target]);
     }
   close_entry (&entry);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
 
 /* Calls to the second of two targets, without answers. */
@@ -275,5 +275,5 @@
   cr_expect_lt (at_first, count_second (&entry, 1));
   cr_log_info ("%u of %u calls to a new target", at_first, CALLS / 4);
   close_entry (&entry);
-  jl_config_drop (config);
+  jl_config_unref (config);
 }
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -305,7 +305,7 @@
 {
   struct racer *racer = data;
   struct jl_ticket ticket
-      = { .minter = { .member = racer->number + 1, .epoch = 5 }, .number = 9 };
+      = { .issuer = { .member = racer->number + 1, .epoch = 5 }, .number = 9 };
 
   racer->outcome = -1;
   if (!jl_platform_claim (platform, 42, ticket, &racer->owner, NULL))
@@ -373,7 +373,7 @@
 claim (uint64_t number)
 {
   struct jl_ticket ticket
-      = { .minter = { .member = 1, .epoch = 2 }, .number = number };
+      = { .issuer = { .member = 1, .epoch = 2 }, .number = number };
   struct jl_ticket owner = { .number = 0 };
 
   assert_done (jl_platform_claim (platform, 7, ticket, &owner, &error));
--- a/tests/unit/settings.c
+++ b/tests/unit/settings.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Settings of a daemon: what is taken, what is refused and where.
+ * DOC: Tests of the validation of a daemon's settings and of the location in
+ * its error messages.
  */
 
 #include <criterion/criterion.h>
@@ -13,7 +14,7 @@
       " \"peer_port\": 1002, \"local_port\": 1003, \"control_port\": 1004,\n"
       " \"target\": \"127.20.0.1:1005\"}";
 
-/* The settings with the first @from in them replaced by @to. */
+/* Returns the settings with the first occurrence of @from replaced by @to. */
 static char *
 replace (const char *from, const char *to)
 {
@@ -25,7 +26,7 @@
 }
 
 static struct jl_settings *
-read_edited (const char *from, const char *to)
+parse_edited (const char *from, const char *to)
 {
   char *text = replace (from, to);
   GError *error = NULL;
@@ -46,8 +47,8 @@
   char *text = replace (from, to);
   GError *error = NULL;
 
-  cr_assert_null (jl_settings_parse (text, strlen (text), &error), "taken: %s",
-                  text);
+  cr_assert_null (jl_settings_parse (text, strlen (text), &error),
+                  "accepted: %s", text);
   cr_assert_eq (error->domain, JL_CONFIG_ERROR);
   cr_expect_str_eq (error->message, message);
   cr_expect_eq (error->code, (int)code);
@@ -57,7 +58,7 @@
 
 Test (settings, keeps_every_value)
 {
-  struct jl_settings *settings = read_edited (
+  struct jl_settings *settings = parse_edited (
       "}", ", \"platform\": \"127.20.0.2:80\", \"seeds\": [\"127.20.0.3:81\", "
            "\"127.20.0.4:82\"], \"threads\": {\"entry\": 1, \"peer\": 4096}, "
            "\"mode\": \"limit-only\", \"drain_ms\": 5}");
@@ -84,7 +85,7 @@
 
 Test (settings, fills_in_defaults)
 {
-  struct jl_settings *settings = read_edited ("one", "one");
+  struct jl_settings *settings = parse_edited ("one", "one");
 
   cr_assert_not (settings->has_platform);
   cr_assert_eq (settings->seed_count, 0);
@@ -116,10 +117,12 @@
                   "peer_port: must differ from entry_port");
   assert_refused ("1003", "1002", JL_CONFIG_ERROR_RANGE,
                   "local_port: must differ from entry_port and peer_port");
-  assert_refused ("127.20.0.1\"", "localhost\"", JL_CONFIG_ERROR_RANGE,
-                  "address: must be the IPv4 address that others use");
-  assert_refused ("127.20.0.1\"", "0.0.0.0\"", JL_CONFIG_ERROR_RANGE,
-                  "address: must be the IPv4 address that others use");
+  assert_refused (
+      "127.20.0.1\"", "localhost\"", JL_CONFIG_ERROR_RANGE,
+      "address: must be the IPv4 address that other instances connect to");
+  assert_refused (
+      "127.20.0.1\"", "0.0.0.0\"", JL_CONFIG_ERROR_RANGE,
+      "address: must be the IPv4 address that other instances connect to");
   assert_refused (":1005", "", JL_CONFIG_ERROR_RANGE,
                   "target: must be an IPv4 address and port, a.b.c.d:port");
 }
