--- a/source/tool/config.c
+++ b/source/tool/config.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The commands about the configuration: check, apply and show.
+ * DOC: The configuration commands: check, apply and show.
  */
 
 #include <inttypes.h>
@@ -11,6 +11,7 @@
 #include "jackdawladder/platform.h"
 #include "tool/tool.h"
 
+/* Prints @object as one line and releases it. */
 static void
 print_json (struct json_object *object)
 {
@@ -18,12 +19,12 @@
   json_object_put (object);
 }
 
-/* Reads and checks the document; NULL after it has said why not. */
+/* Reads and validates the document; on failure prints an error. */
 static struct jl_config *
-load (struct tool *tool)
+load_document (struct tool *tool)
 {
   g_autofree char *text = NULL;
-  g_autofree char *why = NULL;
+  g_autofree char *message = NULL;
   g_autoptr (GError) error = NULL;
   struct jl_config *config = NULL;
   size_t size;
@@ -32,15 +33,15 @@
     config = jl_config_new (text, size, 0, &error);
   if (config != NULL)
     return config;
-  why = g_strdup_printf ("%s: %s", tool->file, error->message);
-  tool_fail (tool, TOOL_REFUSED, why);
+  message = g_strdup_printf ("%s: %s", tool->file, error->message);
+  tool_fail (tool, TOOL_REFUSED, message);
   return NULL;
 }
 
 enum tool_exit
 tool_check (struct tool *tool)
 {
-  struct jl_config *config = load (tool);
+  struct jl_config *config = load_document (tool);
 
   if (config == NULL)
     return TOOL_REFUSED;
@@ -74,7 +75,7 @@
   return tool_fail (tool, TOOL_REFUSED, error->message);
 }
 
-/* The version that an apply follows if none is given. */
+/* Reads the version in force, which an apply replaces if --base is absent. */
 static bool
 read_base (struct jl_platform *platform, uint64_t *base, GError **error)
 {
@@ -93,7 +94,7 @@
       g_error_free (cause);
       return true;
     }
-  /* Nothing was written, so there is no doubt. */
+  /* Nothing was written, so a lost response leaves no doubt. */
   if (cause->code == JL_PLATFORM_ERROR_UNKNOWN)
     cause->code = JL_PLATFORM_ERROR_UNREACHABLE;
   g_propagate_error (error, cause);
@@ -108,48 +109,49 @@
 {
   struct jl_platform *platform
       = jl_platform_new (tool->platform, tool->timeout_ms);
-  bool done = tool->has_base || read_base (platform, &tool->base, error);
+  bool succeeded = tool->has_base || read_base (platform, &tool->base, error);
 
-  if (done)
-    done
+  if (succeeded)
+    succeeded
         = jl_platform_apply_config (platform, text, tool->base, version, error);
   jl_platform_drop (platform);
-  return done;
+  return succeeded;
 }
 
-/* Hands a document in force to one daemon and describes what it answers. */
+/* Sends the document in force to a daemon and returns a report as JSON. */
 static struct json_object *
-hand_over (const struct tool *tool,
-           struct jl_endpoint daemon,
-           const struct jl_config *config,
-           uint64_t version)
+install_on_daemon (const struct tool *tool,
+                   struct jl_endpoint daemon,
+                   const struct jl_config *config,
+                   uint64_t version)
 {
   struct json_object *report = json_object_new_object ();
   struct jl_http_message request;
-  struct jl_http_message answer;
+  struct jl_http_message response;
   char text[JL_ENDPOINT_TEXT_SIZE];
   enum tool_exit status;
 
   jl_endpoint_format (daemon, text);
   jl_http_message_init (&request);
-  jl_http_message_init (&answer);
+  jl_http_message_init (&response);
   jl_http_add_number (&request, "Jl-Config-Version", version);
   g_string_append_len (request.body, config->text, (gssize)config->text_size);
-  status = tool_send (tool, daemon, "POST", "/jl/config", &request, &answer);
+  status = tool_send (tool, daemon, "POST", "/jl/config", &request, &response);
   json_object_object_add (report, "daemon", json_object_new_string (text));
   json_object_object_add (report, "installed",
                           json_object_new_boolean (status == TOOL_OK));
   if (status != TOOL_OK)
     {
-      fprintf (stderr, "jackdawladder: %s: %s\n", text, answer.body->str);
+      fprintf (stderr, "jackdawladder: %s: %s\n", text, response.body->str);
       json_object_object_add (report, "why",
-                              json_object_new_string (answer.body->str));
+                              json_object_new_string (response.body->str));
     }
   jl_http_message_clear (&request);
-  jl_http_message_clear (&answer);
+  jl_http_message_clear (&response);
   return report;
 }
 
+/* Installs the document on all given daemons and prints a report. */
 static void
 report_apply (const struct tool *tool,
               const struct jl_config *config,
@@ -162,8 +164,8 @@
                           json_object_new_int64 ((int64_t)version));
   json_object_object_add (report, "daemons", daemons);
   for (uint32_t i = 0; i < tool->daemon_count; i++)
-    json_object_array_add (daemons,
-                           hand_over (tool, tool->daemons[i], config, version));
+    json_object_array_add (
+        daemons, install_on_daemon (tool, tool->daemons[i], config, version));
   if (tool->json)
     print_json (report);
   else
@@ -176,7 +178,7 @@
 enum tool_exit
 tool_apply (struct tool *tool)
 {
-  struct jl_config *config = load (tool);
+  struct jl_config *config = load_document (tool);
   g_autoptr (GError) error = NULL;
   uint64_t version = 0;
   enum tool_exit status = TOOL_OK;
@@ -241,23 +243,23 @@
 static enum tool_exit
 show_from_daemon (const struct tool *tool)
 {
-  struct jl_http_message answer;
+  struct jl_http_message response;
   const char *text;
   uint64_t version = 0;
   enum tool_exit status;
 
-  jl_http_message_init (&answer);
-  status = tool_get (tool, tool->daemons[0], "/jl/config", &answer);
-  text = jl_http_header (&answer, "Jl-Config-Version");
+  jl_http_message_init (&response);
+  status = tool_get (tool, tool->daemons[0], "/jl/config", &response);
+  text = jl_http_header (&response, "Jl-Config-Version");
   if (status != TOOL_OK)
-    tool_fail (tool, status, answer.body->str);
+    tool_fail (tool, status, response.body->str);
   else if (text == NULL
            || !g_ascii_string_to_unsigned (text, 10, 1, INT64_MAX, &version,
                                            NULL))
-    status = tool_fail (tool, TOOL_REFUSED, "malformed answer");
+    status = tool_fail (tool, TOOL_REFUSED, "malformed response");
   else
-    print_config (tool, version, NULL, answer.body->str);
-  jl_http_message_clear (&answer);
+    print_config (tool, version, NULL, response.body->str);
+  jl_http_message_clear (&response);
   return status;
 }
 
--- a/source/tool/daemon.c
+++ b/source/tool/daemon.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The commands about daemons: status, dump and drain.
+ * DOC: The commands that address daemons: status, dump and drain.
  */
 
 #include <inttypes.h>
@@ -10,11 +10,11 @@
 #include "tool/tool.h"
 
 /**
- * PRINT - prints the answer of one daemon
+ * PRINT_FUNCTION - pointer to a function that prints a daemon's state
  * @name: the daemon's endpoint
- * @state: its answer
+ * @state: the daemon's response
  */
-#define PRINT(print)                                                           \
+#define PRINT_FUNCTION(print)                                                  \
   void (*print) (const struct tool *tool, const char *name,                    \
                  struct json_object *state)
 
@@ -24,18 +24,18 @@
   return json_object_get_string (json_object_object_get (object, key));
 }
 
-/* "yes" or "no" for a boolean. */
+/* Returns "yes" or "no" for the boolean at @key. */
 static const char *
-get_answer (struct json_object *object, const char *key)
+get_yes_no (struct json_object *object, const char *key)
 {
   struct json_object *value = json_object_object_get (object, key);
 
   return json_object_get_boolean (value) ? "yes" : "no";
 }
 
-/* One JSON object a line, which names the daemon. */
+/* Prints a line of JSON that holds the daemon's endpoint and its state. */
 static void
-print_line (const char *name, struct json_object *state)
+print_json_line (const char *name, struct json_object *state)
 {
   struct json_object *line = json_object_new_object ();
 
@@ -54,14 +54,14 @@
 
   if (tool->json)
     {
-      print_line (name, state);
+      print_json_line (name, state);
       return;
     }
   printf ("%s zone=%s version=%s members=%s draining=%s", name,
           get_text (state, "zone"), get_text (state, "config_version"),
-          get_text (state, "alive"), get_answer (state, "draining"));
+          get_text (state, "alive"), get_yes_no (state, "draining"));
   printf (" service=%s up=%s slots=%s", get_text (target, "service"),
-          get_answer (target, "up"), get_text (target, "slots"));
+          get_yes_no (target, "up"), get_text (target, "slots"));
   printf (" running=%s waiting=%s level=%s\n", get_text (state, "running"),
           get_text (state, "waiting"), get_text (state, "level"));
 }
@@ -72,7 +72,7 @@
             struct json_object *state)
 {
   if (tool->json)
-    print_line (name, state);
+    print_json_line (name, state);
   else
     printf ("// %s\n%s\n", name,
             json_object_to_json_string_ext (
@@ -83,46 +83,46 @@
 fail_daemon (const struct tool *tool,
              enum tool_exit status,
              const char *name,
-             const char *why)
+             const char *message)
 {
-  g_autofree char *text = g_strdup_printf ("%s: %s", name, why);
+  g_autofree char *text = g_strdup_printf ("%s: %s", name, message);
 
   return tool_fail (tool, status, text);
 }
 
-/* Gets the state of one daemon and prints it. */
+/* Requests the state of a daemon from @path and prints it. */
 static enum tool_exit
 print_state (const struct tool *tool,
              struct jl_endpoint daemon,
              const char *path,
-             PRINT (print))
+             PRINT_FUNCTION (print))
 {
   char name[JL_ENDPOINT_TEXT_SIZE];
   struct json_object *state = NULL;
-  struct jl_http_message answer;
+  struct jl_http_message response;
   enum tool_exit status;
 
   jl_endpoint_format (daemon, name);
-  jl_http_message_init (&answer);
-  status = tool_get (tool, daemon, path, &answer);
+  jl_http_message_init (&response);
+  status = tool_get (tool, daemon, path, &response);
   if (status == TOOL_OK)
-    state = json_tokener_parse (answer.body->str);
+    state = json_tokener_parse (response.body->str);
   if (status == TOOL_UNKNOWN)
     status = TOOL_UNREACHABLE;
   if (status != TOOL_OK)
-    fail_daemon (tool, status, name, answer.body->str);
+    fail_daemon (tool, status, name, response.body->str);
   else if (!json_object_is_type (state, json_type_object))
-    status = fail_daemon (tool, TOOL_REFUSED, name, "malformed answer");
+    status = fail_daemon (tool, TOOL_REFUSED, name, "malformed response");
   else
     print (tool, name, state);
   json_object_put (state);
-  jl_http_message_clear (&answer);
+  jl_http_message_clear (&response);
   return status;
 }
 
-/* Prints the state of each daemon; the status is the highest of them. */
+/* Prints the state of each daemon and returns the highest exit status. */
 static enum tool_exit
-print_states (const struct tool *tool, const char *path, PRINT (print))
+print_states (const struct tool *tool, const char *path, PRINT_FUNCTION (print))
 {
   enum tool_exit highest = TOOL_OK;
 
@@ -144,22 +144,22 @@
 }
 
 static enum tool_exit
-drain (const struct tool *tool, struct jl_endpoint daemon)
+drain_daemon (const struct tool *tool, struct jl_endpoint daemon)
 {
   char name[JL_ENDPOINT_TEXT_SIZE];
-  struct jl_http_message answer;
+  struct jl_http_message response;
   enum tool_exit status;
 
   jl_endpoint_format (daemon, name);
-  jl_http_message_init (&answer);
-  status = tool_post (tool, daemon, "/jl/drain", &answer);
+  jl_http_message_init (&response);
+  status = tool_post (tool, daemon, "/jl/drain", &response);
   if (status != TOOL_OK)
-    fail_daemon (tool, status, name, answer.body->str);
+    fail_daemon (tool, status, name, response.body->str);
   else if (tool->json)
     printf ("{\"daemon\":\"%s\",\"draining\":true}\n", name);
   else
     printf ("%s is draining\n", name);
-  jl_http_message_clear (&answer);
+  jl_http_message_clear (&response);
   return status;
 }
 
@@ -169,6 +169,6 @@
   enum tool_exit highest = TOOL_OK;
 
   for (uint32_t i = 0; i < tool->daemon_count; i++)
-    highest = MAX (highest, drain (tool, tool->daemons[i]));
+    highest = MAX (highest, drain_daemon (tool, tool->daemons[i]));
   return highest;
 }
--- a/source/tool/http.c
+++ b/source/tool/http.c
@@ -1,34 +1,35 @@
 /**
- * DOC: Requests of the tool to daemons.
+ * DOC: HTTP requests of the tool to daemons.
  */
 
 #include <string.h>
 
 #include "tool/tool.h"
 
-/* Largest answer in bytes that is taken. */
-#define ANSWER_MAX (UINT64_C (64) << 20)
+/* Maximum size of a response body. */
+#define RESPONSE_MAX_BYTES (UINT64_C (64) << 20)
 
-#define STATUS_OK 200
+#define HTTP_STATUS_OK 200
 
+/* Maps the result of a request to an exit status; @body becomes the error. */
 static enum tool_exit
-judge (enum jl_http_result result, uint32_t status, GString *why)
+get_exit_status (enum jl_http_result result, uint32_t status, GString *body)
 {
-  if (result == JL_HTTP_ANSWERED && status == STATUS_OK)
+  if (result == JL_HTTP_ANSWERED && status == HTTP_STATUS_OK)
     return TOOL_OK;
   if (result == JL_HTTP_ANSWERED)
     {
-      g_strchomp (why->str);
-      g_string_set_size (why, strlen (why->str));
-      g_string_append_printf (why, " (status %u)", status);
+      g_strchomp (body->str);
+      g_string_set_size (body, strlen (body->str));
+      g_string_append_printf (body, " (status %u)", status);
       return TOOL_REFUSED;
     }
   if (result == JL_HTTP_NOT_SENT)
     {
-      g_string_assign (why, "cannot be reached");
+      g_string_assign (body, "cannot be reached");
       return TOOL_UNREACHABLE;
     }
-  g_string_assign (why, "no whole answer");
+  g_string_assign (body, "no complete response");
   return TOOL_UNKNOWN;
 }
 
@@ -38,7 +39,7 @@
            const char *method,
            const char *path,
            const struct jl_http_message *request,
-           struct jl_http_message *answer)
+           struct jl_http_message *response)
 {
   struct jl_http_call call
       = { .endpoint = daemon,
@@ -46,12 +47,12 @@
           .target = path,
           .request = request,
           .timeout_us = tool->timeout_ms * JL_USEC_PER_MSEC,
-          .answer_max = ANSWER_MAX };
+          .answer_max = RESPONSE_MAX_BYTES };
   uint32_t status = 0;
   enum jl_http_result result
-      = jl_http_perform (tool->pool, &call, &status, answer);
+      = jl_http_perform (tool->pool, &call, &status, response);
 
-  return judge (result, status, answer->body);
+  return get_exit_status (result, status, response->body);
 }
 
 static enum tool_exit
@@ -59,13 +60,13 @@
             struct jl_endpoint daemon,
             const char *method,
             const char *path,
-            struct jl_http_message *answer)
+            struct jl_http_message *response)
 {
   struct jl_http_message request;
   enum tool_exit status;
 
   jl_http_message_init (&request);
-  status = tool_send (tool, daemon, method, path, &request, answer);
+  status = tool_send (tool, daemon, method, path, &request, response);
   jl_http_message_clear (&request);
   return status;
 }
@@ -74,16 +75,16 @@
 tool_get (const struct tool *tool,
           struct jl_endpoint daemon,
           const char *path,
-          struct jl_http_message *answer)
+          struct jl_http_message *response)
 {
-  return send_empty (tool, daemon, "GET", path, answer);
+  return send_empty (tool, daemon, "GET", path, response);
 }
 
 enum tool_exit
 tool_post (const struct tool *tool,
            struct jl_endpoint daemon,
            const char *path,
-           struct jl_http_message *answer)
+           struct jl_http_message *response)
 {
-  return send_empty (tool, daemon, "POST", path, answer);
+  return send_empty (tool, daemon, "POST", path, response);
 }
--- a/source/tool/main.c
+++ b/source/tool/main.c
@@ -1,5 +1,5 @@
 /**
- * DOC: jackdawladder, the operators' tool.
+ * DOC: jackdawladder, the command-line tool for operators.
  */
 
 #include <argp.h>
@@ -16,47 +16,46 @@
 const char *argp_program_version = "jackdawladder 0.1";
 
 static const char doc[]
-    = "Checks, applies and shows the configuration, and reads the state of "
+    = "Validates, applies and shows the configuration, and shows the state of "
       "daemons.\n\n"
-      "  check FILE   check a document, here and alone\n"
+      "  check FILE   validate a document without applying it\n"
       "  apply FILE   put a document in force as a whole\n"
       "  show         print the document in force\n"
-      "  status       one line for each daemon\n"
-      "  dump         the whole state of each daemon\n"
-      "  drain        begin a planned stop of each daemon\v"
-      "apply follows the version in force unless --base names another, and "
-      "hands the document to each daemon given; one that cannot be reached "
-      "then does not change the exit status, since it gets the document from "
-      "the platform or its peers. show reads from the platform if it is given, "
-      "else from the first daemon.\n\n"
-      "Exit status: 0 done, 1 refused or invalid, 2 usage, 3 conflict with "
-      "another apply, 4 unreachable and certainly not done, 5 outcome unknown. "
-      "With several daemons it is the highest.";
+      "  status       print a one-line summary of each daemon\n"
+      "  dump         print the complete state of each daemon\n"
+      "  drain        start a graceful shutdown of each daemon\v"
+      "apply replaces the version in force; with --base it fails if another "
+      "version is in force. It then sends the document to each given daemon; "
+      "an unreachable daemon does not change the exit status, since the daemon "
+      "gets the document from the platform or its peers later. show reads from "
+      "the platform if --platform is given, else from the first daemon.\n\n"
+      "Exit status: 0 done, 1 rejected or invalid, 2 usage, 3 conflict with "
+      "another apply, 4 unreachable and without effect, 5 outcome unknown. "
+      "With several daemons, the exit status is the highest one.";
 
 static const struct argp_option options[] = {
   { "platform", 'p', "IP:PORT", 0, "The platform's table service", 0 },
-  { "daemon", 'd', "IP:PORT", 0,
-    "Local port of a daemon; may be given several times", 0 },
+  { "daemon", 'd', "IP:PORT", 0, "Local port of a daemon; may be repeated", 0 },
   { "base", 'b', "VERSION", 0,
-    "Version that apply is to follow, 0 for the first", 0 },
-  { "timeout", 't', "MS", 0, "For each request, 5000 if not given", 0 },
-  { "json", 'j', NULL, 0, "Print one JSON object a line", 0 },
+    "Version that apply has to replace, 0 if there is none", 0 },
+  { "timeout", 't', "MS", 0, "Timeout of each request (default 5000)", 0 },
+  { "json", 'j', NULL, 0, "Print one JSON object per line", 0 },
   { 0 },
 };
 
 /**
- * struct command - what can be asked for
- * @takes_file: whether a document's file follows
- * @platform: whether --platform is needed
- * @daemon: whether --daemon is needed
+ * struct command - a command of the tool
+ * @takes_file: whether the command has a FILE argument
+ * @needs_platform: whether --platform is required
+ * @needs_daemon: whether --daemon is required
  */
 struct command
 {
   const char *name;
   enum tool_exit (*run) (struct tool *tool);
   bool takes_file;
-  bool platform;
-  bool daemon;
+  bool needs_platform;
+  bool needs_daemon;
 };
 
 static const struct command commands[] = {
@@ -69,15 +68,15 @@
 };
 
 enum tool_exit
-tool_fail (const struct tool *tool, enum tool_exit status, const char *why)
+tool_fail (const struct tool *tool, enum tool_exit status, const char *message)
 {
   struct json_object *object;
 
-  fprintf (stderr, "jackdawladder: %s\n", why);
+  fprintf (stderr, "jackdawladder: %s\n", message);
   if (!tool->json)
     return status;
   object = json_object_new_object ();
-  json_object_object_add (object, "error", json_object_new_string (why));
+  json_object_object_add (object, "error", json_object_new_string (message));
   json_object_object_add (object, "status", json_object_new_int ((int)status));
   puts (json_object_to_json_string_ext (object, JSON_C_TO_STRING_PLAIN));
   json_object_put (object);
@@ -116,30 +115,30 @@
   return number;
 }
 
-/* Checks that the command has what it needs. */
+/* Checks that the command has its required arguments and options. */
 static void
-check_needs (const struct tool *tool, struct argp_state *state)
+check_arguments (const struct tool *tool, struct argp_state *state)
 {
   const struct command *command = find_command (tool->command);
 
   if (command == NULL)
-    argp_error (state, "want a command: check, apply, show, status, dump or "
-                       "drain");
+    argp_error (state, "missing command: check, apply, show, status, dump "
+                       "or drain");
   else if (command->takes_file != (tool->file != NULL))
     argp_error (state,
-                command->takes_file ? "%s wants a FILE" : "%s takes no FILE",
+                command->takes_file ? "%s requires a FILE" : "%s takes no FILE",
                 command->name);
-  else if (command->platform && !tool->has_platform)
-    argp_error (state, "%s wants --platform", command->name);
-  else if (command->daemon && tool->daemon_count == 0)
-    argp_error (state, "%s wants --daemon", command->name);
+  else if (command->needs_platform && !tool->has_platform)
+    argp_error (state, "%s requires --platform", command->name);
+  else if (command->needs_daemon && tool->daemon_count == 0)
+    argp_error (state, "%s requires --daemon", command->name);
   else if (!command->takes_file && !tool->has_platform
            && tool->daemon_count == 0)
-    argp_error (state, "%s wants --platform or --daemon", command->name);
+    argp_error (state, "%s requires --platform or --daemon", command->name);
 }
 
 static void
-take_argument (struct tool *tool, const char *text, struct argp_state *state)
+add_argument (struct tool *tool, const char *text, struct argp_state *state)
 {
   if (tool->command == NULL)
     tool->command = text;
@@ -177,10 +176,10 @@
       tool->json = true;
       return 0;
     case ARGP_KEY_ARG:
-      take_argument (tool, argument, state);
+      add_argument (tool, argument, state);
       return 0;
     case ARGP_KEY_END:
-      check_needs (tool, state);
+      check_arguments (tool, state);
       return 0;
     default:
       return ARGP_ERR_UNKNOWN;
--- a/source/tool/tool.h
+++ b/source/tool/tool.h
@@ -2,22 +2,23 @@
 #define JACKDAWLADDER_TOOL_H
 
 /**
- * DOC: What the commands of the operators' tool share.
+ * DOC: Declarations shared by the commands of the command-line tool.
  */
 
 #include "jackdawladder/config.h"
 #include "jackdawladder/http.h"
 
+/* Maximum number of --daemon options. */
 #define TOOL_DAEMON_MAX 64
 
 /**
  * enum tool_exit - exit statuses, documented in --help
- * @TOOL_OK: done
- * @TOOL_REFUSED: the document is invalid, or the other side refused
- * @TOOL_USAGE: wrong command line
- * @TOOL_CONFLICT: another apply came first
- * @TOOL_UNREACHABLE: certainly not done
- * @TOOL_UNKNOWN: it may have been done
+ * @TOOL_OK: the command succeeded
+ * @TOOL_REFUSED: the document is invalid, or the server rejected the request
+ * @TOOL_USAGE: invalid command line
+ * @TOOL_CONFLICT: another apply changed the version in force first
+ * @TOOL_UNREACHABLE: the server could not be reached; the command had no effect
+ * @TOOL_UNKNOWN: no complete response arrived; the command may have had effect
  */
 enum tool_exit
 {
@@ -30,11 +31,17 @@
 };
 
 /**
- * struct tool - one run of the tool
+ * struct tool - command line and state of the tool
+ * @command: name of the command
  * @file: argument of the command, or NULL
- * @daemons: local ports of daemons
- * @json: print results as JSON, one object a line
- * @base: with @has_base, the version that an apply is to follow
+ * @json: whether to print results as JSON, one object per line
+ * @has_base: whether @base is set
+ * @has_platform: whether @platform is set
+ * @platform: endpoint of the platform's table service
+ * @daemons: local ports of the daemons
+ * @base: version in force that an apply has to replace
+ * @timeout_ms: timeout of each request
+ * @pool: HTTP connections
  */
 struct tool
 {
@@ -59,41 +66,41 @@
 enum tool_exit tool_drain (struct tool *tool);
 
 /**
- * tool_fail - says on stderr, and as JSON if asked for, why a command failed
+ * tool_fail - prints an error message on stderr, and on stdout with --json
  *
  * Return: @status.
  */
 enum tool_exit
-tool_fail (const struct tool *tool, enum tool_exit status, const char *why);
+tool_fail (const struct tool *tool, enum tool_exit status, const char *message);
 
 /**
- * tool_send - sends a request to a daemon and waits for its answer
+ * tool_send - sends a request to a daemon and waits for its response
  * @request: headers and body
- * @answer: initialized; its body is the reason after a failure
+ * @response: initialized message; on failure its body is an error message
  *
- * Return: TOOL_OK for an answer of status 200.
+ * Return: TOOL_OK for a response with status 200.
  */
 enum tool_exit tool_send (const struct tool *tool,
                           struct jl_endpoint daemon,
                           const char *method,
                           const char *path,
                           const struct jl_http_message *request,
-                          struct jl_http_message *answer);
+                          struct jl_http_message *response);
 
 /**
- * tool_get - tool_send() of a GET without headers
+ * tool_get - sends a GET request without headers, see tool_send()
  */
 enum tool_exit tool_get (const struct tool *tool,
                          struct jl_endpoint daemon,
                          const char *path,
-                         struct jl_http_message *answer);
+                         struct jl_http_message *response);
 
 /**
- * tool_post - tool_send() of a POST without headers or body
+ * tool_post - sends a POST request without headers or body, see tool_send()
  */
 enum tool_exit tool_post (const struct tool *tool,
                           struct jl_endpoint daemon,
                           const char *path,
-                          struct jl_http_message *answer);
+                          struct jl_http_message *response);
 
 #endif
