--- a/include/jackdawladder/base.h
+++ b/include/jackdawladder/base.h
@@ -20,7 +20,7 @@
 
 /* Maximum number of importance classes; class 0 is the most important. */
 #define JL_CLASS_MAX 8
-/* Number of sample values that divide one importance class. */
+/* Number of priorities within one importance class. */
 #define JL_SAMPLE_COUNT 128
 /*
  * Number of priorities. A priority is class * JL_SAMPLE_COUNT + sample; a lower
@@ -31,8 +31,10 @@
 #define JL_SERVICE_MAX 64
 /* Maximum number of request kinds in a configuration. */
 #define JL_KIND_MAX 256
-/* Buffer size in bytes of a service, kind, class, zone, region or daemon name,
- * including the terminating NUL. */
+/*
+ * Buffer size in bytes of a service, kind, class, zone, region or daemon name,
+ * including the terminating NUL.
+ */
 #define JL_NAME_SIZE 48
 
 /* Index that refers to no entry, such as an unknown kind or service. */
@@ -67,7 +69,7 @@
  * @JL_REASON_TIMEOUT: no complete response arrived in time
  * @JL_REASON_CANCELLED: the caller no longer waits for the response
  * @JL_REASON_TOO_LARGE: the request or response body exceeds its limit
- * @JL_REASON_HOME_LOST: the daemon that issued the ticket is gone
+ * @JL_REASON_HOME_LOST: the daemon that issued the ticket is gone or restarted
  * @JL_REASON_PLATFORM: the platform's table gave no result in time
  * @JL_REASON_IN_PROGRESS: another request with the same ticket is in progress
  * @JL_REASON_DUPLICATE: an earlier request with the same ticket may have run
--- a/include/jackdawladder/config.h
+++ b/include/jackdawladder/config.h
@@ -43,8 +43,8 @@
  * @name: unique in the document
  * @retry_percent: retry budget as a percentage of first attempts, 0 to 100
  * @queue_wait_us: queueing delay above which the daemon sheds load
- * @cold_start_us: time over which a new target's share of the load
- *                 grows to its full value
+ * @cold_start_us: time over which a new target's share of the load grows to
+ *                 its full value
  */
 struct jl_service
 {
--- a/include/jackdawladder/log.h
+++ b/include/jackdawladder/log.h
@@ -45,7 +45,7 @@
 void jl_log (enum jl_log_number number, uint64_t first, uint64_t second);
 
 /**
- * jl_log_text - logs an event followed by @text, without its numeric arguments
+ * jl_log_text - logs an event with a text instead of numeric arguments
  */
 void jl_log_text (enum jl_log_number number, const char *text);
 
--- a/include/jackdawladder/settings.h
+++ b/include/jackdawladder/settings.h
@@ -20,8 +20,8 @@
  * @ip: IPv4 address of all ports of the daemon, in host byte order
  * @entry_port: HTTP port for callers
  * @peer_port: HTTP port for other daemons
- * @local_port: HTTP port for the local target's announcements and calls, and
- * for the command-line tool
+ * @local_port: HTTP port for announcements and calls of the local target, and
+ *              for the command-line tool
  * @control_port: UDP port for control messages
  * @target: HTTP endpoint of the local target
  * @has_platform: whether @platform is set
@@ -58,7 +58,8 @@
 
 /**
  * jl_settings_load - reads and validates a settings file
- * @error: its message starts with the line number or with the path in the file
+ * @error: for invalid settings, its message starts with the line number or with
+ *         the path in the file
  *
  * Return: the settings, to be freed with g_free(), or NULL with an @error of
  * the domain JL_CONFIG_ERROR.
