--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,35 +1,42 @@
-"""What callers and targets saw, and the promises that it must keep."""
+"""Records what clients and targets observe, and checks it against the guarantees."""
 
 import time
 from collections import defaultdict
 
+# Time in which requests may still reach a target after its draining was acknowledged.
 DRAIN_S = 1.0
+# Time in which an acknowledged configuration must be in force at all daemons.
 APPLY_S = 2.0
-ANSWER_S = 0.7
+# Time by which a response may exceed the request's deadline.
+LATE_RESPONSE_S = 0.7
+# Retry budget of a window: a ratio of the first attempts plus a constant.
 RETRY_RATIO = 0.2
 RETRY_SLACK = 30
 RETRY_WINDOW_S = 10
-RECOVERED_SHARE = 0.9
+# Minimum ratio of successful requests after the last fault.
+RECOVERED_RATIO = 0.9
 
 
 class History:
+    """Observations of one seed; `violations` holds the first 20 violated rules."""
+
     def __init__(self):
         self.runs = defaultdict(list)
         self.arrivals = defaultdict(list)
         self.answers = defaultdict(dict)
-        self.acks = {}
+        self.drain_acks = {}
         self.sent = {}
         self.versions = []
         self.freezes = defaultdict(list)
-        self.broken = []
+        self.violations = []
         self.counts = defaultdict(int)
 
     def fail(self, rule, text):
-        if len(self.broken) < 20:
-            self.broken.append(f"{rule}: {text}")
+        if len(self.violations) < 20:
+            self.violations.append(f"{rule}: {text}")
 
-    def acknowledged(self, target):
-        self.acks[target] = time.monotonic()
+    def draining_acknowledged(self, target):
+        self.drain_acks[target] = time.monotonic()
 
     def arrived(self, number, service):
         self.arrivals[service].append((time.monotonic(), number))
@@ -39,113 +46,115 @@
         self.runs[number].append((now, target, service))
         sent = self.sent.get(number)
         if sent is None:
-            self.fail("unasked", f"{number} runs, and no client sent it")
+            self.fail("unasked", f"{number} runs, but no client sent it")
             return
-        if not sent["repeatable"] and len(self.runs[number]) > 1:
+        if not sent["idempotent"] and len(self.runs[number]) > 1:
             self.fail("twice", f"{number} runs at {self.runs[number]}")
         if sent["body"] != message.body or message.first.split(" ")[1] != sent["target"]:
             self.fail("unasked", f"{number} runs with another body or target")
-        if target in self.acks and now > self.acks[target] + DRAIN_S:
-            self.fail("drain", f"{number} reaches {target} {now - self.acks[target]:.1f} s after its leaving")
-        if sent.get("told_not_run"):
-            self.fail("refused", f"{number} runs after it was told not run")
+        if target in self.drain_acks and now > self.drain_acks[target] + DRAIN_S:
+            since = now - self.drain_acks[target]
+            self.fail("drain", f"{number} reaches {target} {since:.1f} s after its draining was acknowledged")
+        if sent.get("reported_not_run"):
+            self.fail("refused", f"{number} runs after its client was told that it did not run")
 
-    def answered(self, number, proof, body):
-        self.answers[number][proof] = body
+    def answered(self, number, seal, body):
+        self.answers[number][seal] = body
 
     def freeze(self, entry):
-        """The process stands still from now on; the caller notes the end."""
+        """Records that the process is stopped from now on; the caller sets the end, span[1]."""
         span = [time.monotonic(), float("inf")]
         self.freezes[entry].append(span)
         return span
 
     def was_frozen(self, sent):
-        """A process that stood still cannot answer in time."""
+        """Returns whether the entry was stopped during the request and thus may respond late."""
         return any(b < sent["ended"] and e > sent["at"] for b, e in self.freezes[sent["entry"]])
 
-    def begin(self, number, repeatable, target, body, entry, life, deadline):
+    def begin(self, number, idempotent, target, body, entry, run, deadline):
         self.sent[number] = {
-            "repeatable": repeatable,
+            "idempotent": idempotent,
             "target": target,
             "body": body,
             "at": time.monotonic(),
             "entry": entry,
-            "life": life,
+            "run": run,
             "deadline": deadline,
         }
 
     def end(self, number, status, fields, body):
-        """A client got an answer, or status 0 for a broken connection."""
+        """Records the result of a request: a status, 0 for a broken connection, -1 for a timeout."""
         sent = self.sent[number]
         sent["status"] = status
         sent["ended"] = time.monotonic()
         self.counts[status] += 1
         took = sent["ended"] - sent["at"]
-        if status and took > sent["deadline"] + ANSWER_S and not self.was_frozen(sent):
-            self.fail("late", f"{number} at {sent['entry']} is answered {status} after {took:.1f} s")
+        if status and took > sent["deadline"] + LATE_RESPONSE_S and not self.was_frozen(sent):
+            self.fail("late", f"{number} at {sent['entry']} gets status {status} after {took:.1f} s")
         if status == 200:
             self.check_success(number, fields, body)
         if status in (429, 503):
-            sent["told_not_run"] = True
-            if not sent["repeatable"] and self.runs[number]:
-                self.fail("refused", f"{number} was told not run, and ran at {self.runs[number]}")
+            sent["reported_not_run"] = True
+            if not sent["idempotent"] and self.runs[number]:
+                self.fail("refused", f"{number} was reported as not run, but ran at {self.runs[number]}")
 
     def check_success(self, number, fields, body):
-        proof = fields.get("x-jackdawladder-server-seal")
-        if self.answers[number].get(proof) != body:
-            self.fail("mixed", f"{number} gets an answer that no target gave to it")
+        seal = fields.get("x-jackdawladder-server-seal")
+        if self.answers[number].get(seal) != body:
+            self.fail("mixed", f"{number} gets a response that no target sent for it")
         if fields.get("x-jackdawladder-attempt-id") != number:
-            self.fail("mixed", f"{number} gets the answer to another request")
+            self.fail("mixed", f"{number} gets the response to another request")
 
     def configured(self, version, service, calm):
-        """The operator's change was acknowledged; `calm`: the store is well."""
+        """Records an acknowledged configuration; `calm` says that no fault is active."""
         self.versions.append((time.monotonic(), version, service, calm))
 
     def check_configuration(self):
-        """The moving route: bound after an acknowledgement, and never back."""
+        """Checks that each change of the moving route takes effect in time and is never undone."""
         newest = defaultdict(int)
         for number, sent in sorted(self.sent.items(), key=lambda item: item[1]["at"]):
             if not sent["target"].startswith("/moving/") or sent.get("status") != 200:
                 continue
             if not self.runs[number]:
-                # An answer that no target gave is reported as such.
+                # check_success() reports a response that no target sent.
                 continue
             service = self.runs[number][-1][2]
             possible = [i for i, v in enumerate(self.versions) if v[2] == service and v[0] <= sent["ended"]]
             if not possible:
-                self.fail("route", f"{number} ran at {service}, where no version sent it")
+                self.fail("route", f"{number} ran at {service}, which no version of the route names")
                 continue
-            floor = newest[sent["entry"], sent["life"]]
+            floor = newest[sent["entry"], sent["run"]]
             if possible[-1] < floor:
-                self.fail("order", f"{number} at {sent['entry']} is back before version {floor}")
+                self.fail("order", f"{number} at {sent['entry']} uses a version older than {floor}")
             due = [i for i, v in enumerate(self.versions) if v[3] and v[0] + APPLY_S < sent["at"]]
             if due and possible[-1] < due[-1]:
                 self.fail("apply", f"{number} at {sent['entry']} does not know version {due[-1]}")
             if len(possible) == 1:
-                newest[sent["entry"], sent["life"]] = max(floor, possible[0])
+                newest[sent["entry"], sent["run"]] = max(floor, possible[0])
 
     def check_budget(self):
+        """Checks that each service's retries stay within the retry budget in each window."""
         for service, arrivals in self.arrivals.items():
             times = defaultdict(list)
             for at, number in arrivals:
                 times[number].append(at)
-            repeats = sorted(t for list_ in times.values() for t in list_[1:])
-            firsts = sorted(list_[0] for list_ in times.values())
-            for start in repeats:
-                spent = sum(start <= t < start + RETRY_WINDOW_S for t in repeats)
-                asked = sum(start - RETRY_WINDOW_S <= t < start + RETRY_WINDOW_S for t in firsts)
-                if spent > RETRY_RATIO * asked + RETRY_SLACK:
-                    self.fail("budget", f"{service}: {spent} repeats, {asked} requests")
+            retries = sorted(t for attempts in times.values() for t in attempts[1:])
+            firsts = sorted(attempts[0] for attempts in times.values())
+            for start in retries:
+                retried = sum(start <= t < start + RETRY_WINDOW_S for t in retries)
+                requested = sum(start - RETRY_WINDOW_S <= t < start + RETRY_WINDOW_S for t in firsts)
+                if retried > RETRY_RATIO * requested + RETRY_SLACK:
+                    self.fail("budget", f"{service}: {retried} retries, {requested} requests")
                     break
 
     def check_recovery(self, since):
-        tried = [s for s in self.sent.values() if s["at"] >= since and "status" in s]
-        good = sum(s["status"] == 200 for s in tried)
-        if not tried or good < RECOVERED_SHARE * len(tried):
-            self.fail("recovery", f"{good} of {len(tried)} served after the faults")
+        finished = [s for s in self.sent.values() if s["at"] >= since and "status" in s]
+        successful = sum(s["status"] == 200 for s in finished)
+        if not finished or successful < RECOVERED_RATIO * len(finished):
+            self.fail("recovery", f"{successful} of {len(finished)} requests successful after the faults")
 
     def finish(self, calm_since):
         self.check_configuration()
         self.check_budget()
         self.check_recovery(calm_since)
-        return self.broken
+        return self.violations
--- a/tests/soak/relay.py
+++ b/tests/soak/relay.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that stands on one daemon's way and disturbs it."""
+"""Loopback relay that injects network faults into the connections of a daemon."""
 
 import asyncio
 
@@ -6,19 +6,20 @@
 
 
 class Relay:
-    """Relays TCP (and datagrams, if asked) from a port of its own to `to`.
+    """Relays TCP, and optionally UDP, from a port of its own to the address `to`.
 
-    delay: seconds added to each piece; silent: nothing passes in either way;
-    one_way: nothing passes back; refuse: new connections are reset.
+    delay: seconds by which each chunk of TCP data is delayed; silent: no data
+    passes in either direction; one_way: no TCP data passes from `to` back to
+    the client; refuse: new TCP connections are reset.
     """
 
     def __init__(self, host, to):
         self.host = host
         self.to = to
-        self.calm()
+        self.clear_faults()
         self.writers = set()
 
-    def calm(self):
+    def clear_faults(self):
         self.delay = 0.0
         self.silent = False
         self.one_way = False
@@ -31,10 +32,10 @@
             if datagrams:
                 loop = asyncio.get_running_loop()
                 await loop.create_datagram_endpoint(
-                    lambda: Datagrams(self), local_addr=(self.host, self.port)
+                    lambda: DatagramRelay(self), local_addr=(self.host, self.port)
                 )
         except OSError:
-            # Another socket has this port for datagrams: takes another one.
+            # Another UDP socket uses this port; try another one.
             self.server.close()
             return await self.start(datagrams)
         return f"{self.host}:{self.port}"
@@ -50,17 +51,17 @@
             return
         self.writers |= {writer, back_writer}
         await asyncio.gather(
-            self.pump(reader, back_writer, False),
-            self.pump(back_reader, writer, True),
+            self.copy_stream(reader, back_writer, False),
+            self.copy_stream(back_reader, writer, True),
         )
         self.writers -= {writer, back_writer}
 
-    async def pump(self, reader, writer, back):
+    async def copy_stream(self, reader, writer, is_response):
         try:
             while data := await reader.read(65536):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                while self.silent or (back and self.one_way):
+                while self.silent or (is_response and self.one_way):
                     await asyncio.sleep(0.02)
                 writer.write(data)
                 await writer.drain()
@@ -73,7 +74,7 @@
             reset(writer)
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramRelay(asyncio.DatagramProtocol):
     def __init__(self, relay):
         self.relay = relay
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Randomized soak: the real proxies as processes, faults from outside.
+"""Randomized soak test: runs the proxies as processes and injects faults.
 
     soak.py --program PATH --seeds 1-50 [--seconds N] [--daemons N] [--off NAME]
 
-Clients, targets and the store are played here; every connection between
-daemons, to a target and to the store runs through a loopback relay. Each seed
-prints one line, "ok soak-N" or "not ok soak-N" with what broke.
+The soak test simulates the clients, the targets and the store. All connections
+between daemons, to targets and to the store pass through loopback relays. Each
+seed prints a line "ok soak-N" or "not ok soak-N", followed by its response
+counts and, on failure, the violated rules and the injected faults.
 """
 
 import argparse
@@ -29,16 +30,20 @@
 
 ZONES = ["z1", "z2"]
 SERVICES = ["front", "deep"]
+# Grace period of a proxy's shutdown.
 GRACE_S = 4.0
+# Delay between the end of a proxy and its restart.
 RESTART_S = 0.4
-# As planned, killed, or as planned with requests cut off at the end.
-ENDS = (0, -signal.SIGKILL, 4)
+# Exit statuses: graceful shutdown, killed, or shutdown that aborted requests at its end.
+EXPECTED_EXITS = (0, -signal.SIGKILL, 4)
+# Time without faults over which recovery is measured.
 CALM_S = 6.0
+# Time between the last fault and the start of that measurement.
 SETTLE_S = 5.0
 
 
 class Daemon:
-    """One instance: a proxy process, its target and the relays around it."""
+    """An instance with a proxy process, its target and the relays of their connections."""
 
     def __init__(self, site, number):
         self.site = site
@@ -49,7 +54,7 @@
         self.ports = dict(entry=7001, ready=7002, announce=7003, peer=7004, metrics=7005)
         self.target = Target(site.history, self.host, self.service, 12, site.seed * 1000 + number)
         self.process = None
-        self.life = 0
+        self.run = 0
         self.clients = set()
 
     async def prepare(self):
@@ -84,18 +89,18 @@
             json.dump(settings, file)
 
     async def supervise(self):
-        """Starts the process again whenever it has ended, as the platform does."""
+        """Restarts the process whenever it ends, as the platform does."""
         while True:
             await self.start()
             status = await self.process.wait()
             if self.site.ending:
                 return
-            if status not in ENDS:
-                self.site.history.fail("ends", f"{self.name} ended with {status}")
+            if status not in EXPECTED_EXITS:
+                self.site.history.fail("ends", f"{self.name} exited with status {status}")
             await asyncio.sleep(RESTART_S)
 
     async def start(self):
-        self.life += 1
+        self.run += 1
         log = open(os.path.join(self.site.directory, f"{self.name}.log"), "ab")
         environment = dict(os.environ)
         if self.site.off:
@@ -105,7 +110,7 @@
         )
 
     def signal(self, number):
-        """Only ever to the process that this soak started, by its id."""
+        """Sends a signal to the running process; only to the one that was started here, by its id."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
@@ -132,7 +137,7 @@
         self.number = 0
 
     def configure(self):
-        """Writes a version; the moving route changes its service."""
+        """Writes a new configuration, in which the moving route has a random service."""
         self.version += self.random.randint(1, 3)
         service = self.random.choice(SERVICES)
         columns = ["name", "host", "prefix", "kind", "timeoutS", "targetLatencyS",
@@ -154,10 +159,10 @@
         self.history.configured(self.version, service, False)
 
     async def client(self, daemon, index):
-        """Keeps using its connection until that is gone."""
+        """Sends requests on one connection and reconnects when it is closed."""
         choice = random.Random(f"{self.seed}-{daemon.name}-{index}")
         connection = None
-        while not self.done:
+        while not self.clients_done:
             await asyncio.sleep(choice.expovariate(8))
             try:
                 if connection is None:
@@ -178,7 +183,7 @@
         target = f"/{kind}/{choice.randint(1, 1000)}"
         method = "POST" if kind == "write" else "GET"
         deadline = 2.0
-        self.history.begin(number, kind != "write", target, body, daemon.name, daemon.life, deadline)
+        self.history.begin(number, kind != "write", target, body, daemon.name, daemon.run, deadline)
         fields = {"Host": "a.example", "X-Jackdawladder-Attempt-Id": number,
                   "X-Jackdawladder-Deadline-Ms": int(deadline * 1000)}
         try:
@@ -198,131 +203,131 @@
             return None
         return connection
 
-    async def fault(self):
-        """One fault, with its own end; several overlap."""
+    async def inject_fault(self):
+        """Injects a random fault for a random time; faults may overlap."""
         daemon = self.random.choice(self.daemons)
-        for_s = self.random.uniform(0.3, 4)
+        duration_s = self.random.uniform(0.3, 4)
         kind = self.random.choice(
             self.kinds or ["kill", "term", "freeze", "hup", "target_crash", "target_leave", "lose", "extra",
              "peer_delay", "peer_reset", "peer_silent", "peer_one_way", "store_cut",
              "target_reset", "store_busy", "store_silent", "store_lost", "store_slow",
              "compact", "configure", "configure", "double_term"])
-        self.faults.append(f"{time.monotonic() - self.begun:.1f} {kind} {daemon.name} {for_s:.1f}")
-        await getattr(self, "do_" + kind)(daemon, for_s)
+        self.faults.append(f"{time.monotonic() - self.started_at:.1f} {kind} {daemon.name} {duration_s:.1f}")
+        await getattr(self, "do_" + kind)(daemon, duration_s)
 
-    async def do_kill(self, daemon, for_s):
+    async def do_kill(self, daemon, duration_s):
         daemon.signal(signal.SIGKILL)
 
-    async def do_term(self, daemon, for_s):
+    async def do_term(self, daemon, duration_s):
         daemon.signal(signal.SIGTERM)
 
-    async def do_double_term(self, daemon, for_s):
+    async def do_double_term(self, daemon, duration_s):
         daemon.signal(signal.SIGTERM)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         daemon.signal(signal.SIGTERM)
 
-    async def do_freeze(self, daemon, for_s):
+    async def do_freeze(self, daemon, duration_s):
         daemon.signal(signal.SIGSTOP)
         freeze = self.history.freeze(daemon.name)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         daemon.signal(signal.SIGCONT)
         freeze[1] = time.monotonic()
 
-    async def do_hup(self, daemon, for_s):
+    async def do_hup(self, daemon, duration_s):
         daemon.signal(signal.SIGHUP)
 
-    async def do_target_crash(self, daemon, for_s):
+    async def do_target_crash(self, daemon, duration_s):
         if daemon.target.lock.locked():
             return
         async with daemon.target.lock:
             daemon.target.crash()
-            await asyncio.sleep(for_s)
+            await asyncio.sleep(duration_s)
             await daemon.target.start(daemon.target.announce)
 
-    async def do_target_leave(self, daemon, for_s):
+    async def do_target_leave(self, daemon, duration_s):
         if daemon.target.lock.locked():
             return
         async with daemon.target.lock:
             await daemon.target.leave()
-            await asyncio.sleep(for_s / 2)
+            await asyncio.sleep(duration_s / 2)
             await daemon.target.start(daemon.target.announce)
 
-    async def do_target_leave_kill(self, daemon, for_s):
-        """Needs the store: not one of the kinds that overlap at random."""
+    async def do_target_leave_kill(self, daemon, duration_s):
+        """Needs a working store and is thus not among the randomly chosen kinds."""
         if daemon.target.lock.locked():
             return
         async with daemon.target.lock:
-            await daemon.target.leave_unannounced(lambda: daemon.signal(signal.SIGKILL))
-            await asyncio.sleep(for_s / 2)
+            await daemon.target.leave_and_kill_daemon(lambda: daemon.signal(signal.SIGKILL))
+            await asyncio.sleep(duration_s / 2)
             await daemon.target.start(daemon.target.announce)
 
-    async def do_lose(self, daemon, for_s):
-        daemon.target.lose = 0.2
-        await asyncio.sleep(for_s)
-        daemon.target.lose = 0
+    async def do_lose(self, daemon, duration_s):
+        daemon.target.lost_response_ratio = 0.2
+        await asyncio.sleep(duration_s)
+        daemon.target.lost_response_ratio = 0
 
-    async def do_extra(self, daemon, for_s):
-        daemon.target.extra = 0.3
-        await asyncio.sleep(for_s)
-        daemon.target.extra = 0
+    async def do_extra(self, daemon, duration_s):
+        daemon.target.repeated_response_ratio = 0.3
+        await asyncio.sleep(duration_s)
+        daemon.target.repeated_response_ratio = 0
 
-    async def relay_for(self, relay, name, value, for_s):
+    async def apply_relay_fault(self, relay, name, value, duration_s):
         setattr(relay, name, value)
-        await asyncio.sleep(for_s)
-        relay.calm()
+        await asyncio.sleep(duration_s)
+        relay.clear_faults()
 
-    async def do_peer_delay(self, daemon, for_s):
-        await self.relay_for(daemon.peer_relay, "delay", 0.15, for_s)
+    async def do_peer_delay(self, daemon, duration_s):
+        await self.apply_relay_fault(daemon.peer_relay, "delay", 0.15, duration_s)
 
-    async def do_peer_reset(self, daemon, for_s):
+    async def do_peer_reset(self, daemon, duration_s):
         daemon.peer_relay.reset_all()
 
-    async def do_peer_silent(self, daemon, for_s):
-        await self.relay_for(daemon.peer_relay, "silent", True, for_s)
+    async def do_peer_silent(self, daemon, duration_s):
+        await self.apply_relay_fault(daemon.peer_relay, "silent", True, duration_s)
 
-    async def do_peer_one_way(self, daemon, for_s):
-        await self.relay_for(daemon.peer_relay, "one_way", True, for_s)
+    async def do_peer_one_way(self, daemon, duration_s):
+        await self.apply_relay_fault(daemon.peer_relay, "one_way", True, duration_s)
 
-    async def do_store_cut(self, daemon, for_s):
+    async def do_store_cut(self, daemon, duration_s):
         daemon.store_relay.reset_all()
-        await self.relay_for(daemon.store_relay, "refuse", True, for_s)
+        await self.apply_relay_fault(daemon.store_relay, "refuse", True, duration_s)
 
-    async def do_target_reset(self, daemon, for_s):
+    async def do_target_reset(self, daemon, duration_s):
         daemon.target_relay.reset_all()
 
-    async def store_mode(self, mode, for_s):
+    async def apply_store_fault(self, mode, duration_s):
         self.store.mode = mode
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         self.store.mode = "calm"
 
-    async def do_store_busy(self, daemon, for_s):
-        await self.store_mode("busy", for_s)
+    async def do_store_busy(self, daemon, duration_s):
+        await self.apply_store_fault("busy", duration_s)
 
-    async def do_store_silent(self, daemon, for_s):
-        await self.store_mode("silent", for_s)
+    async def do_store_silent(self, daemon, duration_s):
+        await self.apply_store_fault("silent", duration_s)
 
-    async def do_store_lost(self, daemon, for_s):
-        await self.store_mode("lost", for_s)
+    async def do_store_lost(self, daemon, duration_s):
+        await self.apply_store_fault("lost", duration_s)
 
-    async def do_store_slow(self, daemon, for_s):
-        await self.store_mode("slow", for_s)
+    async def do_store_slow(self, daemon, duration_s):
+        await self.apply_store_fault("slow", duration_s)
 
-    async def do_compact(self, daemon, for_s):
+    async def do_compact(self, daemon, duration_s):
         self.store.compact()
 
-    async def do_configure(self, daemon, for_s):
+    async def do_configure(self, daemon, duration_s):
         self.configure()
 
-    def note_exception(self, loop, context):
-        """Tasks that the end of a seed cancels are no news."""
+    def handle_exception(self, loop, context):
+        """Ignores the cancellation of tasks at the end of a seed."""
         if not isinstance(context.get("exception"), asyncio.CancelledError):
             loop.default_exception_handler(context)
 
     async def run(self):
-        asyncio.get_running_loop().set_exception_handler(self.note_exception)
-        self.done = False
+        asyncio.get_running_loop().set_exception_handler(self.handle_exception)
+        self.clients_done = False
         self.ending = False
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         self.store_address = await self.store.start("127.0.0.1")
         self.configure()
         self.daemons = [Daemon(self, number) for number in range(self.count)]
@@ -331,31 +336,31 @@
         for daemon in self.daemons:
             daemon.supervisor = asyncio.create_task(daemon.supervise())
         try:
-            return await self.play()
+            return await self.run_scenario()
         finally:
             self.ending = True
             for daemon in self.daemons:
                 await daemon.stop()
 
-    async def play(self):
+    async def run_scenario(self):
         await asyncio.sleep(2.5)
         clients = [asyncio.create_task(self.client(daemon, index))
                    for daemon in self.daemons for index in range(2)]
         await asyncio.sleep(1)
-        busy = set()
+        active_faults = set()
         end = time.monotonic() + self.seconds
         while time.monotonic() < end:
-            busy.add(asyncio.create_task(self.fault()))
+            active_faults.add(asyncio.create_task(self.inject_fault()))
             await asyncio.sleep(self.random.uniform(0.1, 1.2))
-        await asyncio.gather(*busy)
+        await asyncio.gather(*active_faults)
         await asyncio.sleep(SETTLE_S)
-        # A change in calm times must be in force in time.
+        # A configuration written while no fault is active must be in force within APPLY_S.
         self.configure()
         last = self.history.versions[-1]
         self.history.versions[-1] = (time.monotonic(), last[1], last[2], True)
         calm_since = time.monotonic()
         await asyncio.sleep(CALM_S)
-        self.done = True
+        self.clients_done = True
         await asyncio.gather(*clients)
         return self.history.finish(calm_since)
 
@@ -371,32 +376,32 @@
     parser.add_argument("--seeds", default="1-3", type=read_seeds)
     parser.add_argument("--seconds", default=8.0, type=float)
     parser.add_argument("--daemons", default=6, type=int)
-    parser.add_argument("--faults", default="", help="only these kinds, with commas")
+    parser.add_argument("--faults", default="", help="comma-separated kinds of faults to choose from")
     parser.add_argument("--off", default="")
-    parser.add_argument("--expect-failure", default="", help="a rule that must break in some seed")
+    parser.add_argument("--expect-failure", default="", help="succeed only if a seed violates this rule")
     arguments = parser.parse_args()
     failed = 0
     rules = set()
     for seed in arguments.seeds:
         with tempfile.TemporaryDirectory(prefix="soak-") as directory:
             site = Site(arguments, seed, directory)
-            broken = asyncio.run(site.run())
-            rules |= {line.partition(":")[0] for line in broken}
+            violations = asyncio.run(site.run())
+            rules |= {line.partition(":")[0] for line in violations}
             counts = " ".join(f"{status}={count}" for status, count in sorted(site.history.counts.items()))
             if arguments.expect_failure:
                 if arguments.expect_failure in rules:
                     break
                 continue
-            print(f"{'not ok' if broken else 'ok'} soak-{seed}", flush=True)
+            print(f"{'not ok' if violations else 'ok'} soak-{seed}", flush=True)
             print(f"  {counts}; {len(site.faults)} faults")
-            if broken:
+            if violations:
                 failed += 1
-                kept = os.path.join("out", "soak", str(seed))
-                os.makedirs(kept, exist_ok=True)
-                for line in broken + ["faults:"] + site.faults:
+                failure_dir = os.path.join("out", "soak", str(seed))
+                os.makedirs(failure_dir, exist_ok=True)
+                for line in violations + ["faults:"] + site.faults:
                     print("  " + line)
                 for name in os.listdir(directory):
-                    os.replace(os.path.join(directory, name), os.path.join(kept, name))
+                    os.replace(os.path.join(directory, name), os.path.join(failure_dir, name))
     if arguments.expect_failure:
         seen = arguments.expect_failure in rules
         print(f"{'ok' if seen else 'not ok'} soak-sees-{arguments.off}-off")
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: rows, transactions, the feed."""
+"""Simulated platform store with rows, transactions and a change feed."""
 
 import asyncio
 import json
@@ -9,13 +9,17 @@
 
 
 class Store:
-    """mode: calm, busy (503), silent, lost (done and not answered), slow."""
+    """Store whose `mode` selects a fault.
+
+    calm: no fault; busy: status 503; silent: no response; lost: requests take
+    effect, but the connection is reset; slow: responses take 0.7 s longer.
+    """
 
     def __init__(self):
         self.rows = {}
         self.history = []
         self.version = 0
-        self.oldest = 0
+        self.compacted_version = 0
         self.mode = "calm"
         self.changed = asyncio.Event()
 
@@ -34,9 +38,9 @@
 
     def compact(self):
         self.history = []
-        self.oldest = self.version
+        self.compacted_version = self.version
 
-    def transact(self, body):
+    def run_transaction(self, body):
         for row in body["expectedRevision"]:
             present = self.rows.get((row["table"], row["key"]))
             if (present["ver"] if present else 0) != row["ver"]:
@@ -51,25 +55,25 @@
 
     async def feed(self, query):
         after = int(query["after"])
-        end = time.monotonic() + int(query["waitMs"]) / 1000
+        deadline = time.monotonic() + int(query["waitMs"]) / 1000
         while True:
-            if after < self.oldest:
+            if after < self.compacted_version:
                 return 410, {}
             rows = [r for r in self.history if r["ver"] > after and r["table"] == query["table"]]
-            left = end - time.monotonic()
-            if rows or left <= 0:
+            remaining_s = deadline - time.monotonic()
+            if rows or remaining_s <= 0:
                 return 200, {"rows": rows}
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining_s)
             except asyncio.TimeoutError:
                 pass
 
-    async def answer(self, message):
+    async def respond(self, message):
         method, target, _ = message.first.split(" ")
         parts = urlsplit(target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if method == "POST":
-            return self.transact(json.loads(message.body))
+            return self.run_transaction(json.loads(message.body))
         if parts.path == "/api/rows-feed":
             return await self.feed(query)
         return self.get(query)
@@ -85,7 +89,7 @@
                 if self.mode == "busy":
                     writer.write(encode("HTTP/1.1 503 Busy", {}))
                     continue
-                status, document = await self.answer(message)
+                status, document = await self.respond(message)
                 if self.mode == "lost":
                     reset(writer)
                     return
--- a/tests/soak/target.py
+++ b/tests/soak/target.py
@@ -1,4 +1,4 @@
-"""Stand-in of a target: slots, heartbeats, draining, misbehaviour."""
+"""Simulated target with slots, heartbeats, draining and injected faults."""
 
 import asyncio
 import itertools
@@ -8,16 +8,18 @@
 
 from wire import close, encode, read_message, reset
 
-LIVES = itertools.count(1)
+INSTANCE_NUMBERS = itertools.count(1)
 HEARTBEAT_S = 0.4
-DRAIN_S = 1.0
+# Time in which a draining target may still get requests, as in history.py.
+DRAIN_WAIT_S = 1.0
 
 
 class Target:
-    """One place for a target; each start is a new life with a new id.
+    """A target that can be restarted; each start has a new instance id.
 
-    lose: share of the runs whose answer is lost; extra: share after which the
-    answer is sent once more, late.
+    lost_response_ratio: ratio of the requests that run but whose response is
+    lost; repeated_response_ratio: ratio of the responses that are sent a second
+    time, 10 ms later.
     """
 
     def __init__(self, history, host, service, slots, seed):
@@ -28,25 +30,26 @@
         self.random = random.Random(seed)
         self.port = 0
         self.running = 0
-        self.lose = 0.0
-        self.extra = 0.0
-        self.leaving_since = None
+        self.lost_response_ratio = 0.0
+        self.repeated_response_ratio = 0.0
+        self.draining_since = None
         self.tasks = set()
         self.lock = asyncio.Lock()
 
     async def start(self, announce):
-        self.id = f"i-{next(LIVES)}"
+        self.id = f"i-{next(INSTANCE_NUMBERS)}"
         self.announce = announce
         self.sequence = 0
         self.born = int(time.time() * 1000)
-        self.leaving_since = None
+        self.draining_since = None
         self.writers = set()
         self.server = await asyncio.start_server(self.serve, self.host, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.beating = asyncio.create_task(self.beat())
+        self.heartbeat_task = asyncio.create_task(self.send_heartbeats())
 
     def crash(self):
-        self.beating.cancel()
+        """Resets all connections and stops."""
+        self.heartbeat_task.cancel()
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -55,33 +58,34 @@
         self.running = 0
 
     async def leave(self):
-        """A planned stop; the history notes when it was acknowledged."""
-        self.leaving_since = time.monotonic()
-        while not await self.say("PUT", self.state("draining")):
+        """Drains and stops; the history records the time of the acknowledgement."""
+        self.draining_since = time.monotonic()
+        while not await self.announce_state("PUT", self.state("draining")):
             await asyncio.sleep(0.1)
-        self.history.acknowledged(self.id)
-        await asyncio.sleep(DRAIN_S + 1)
-        await self.say("DELETE", {})
+        self.history.draining_acknowledged(self.id)
+        await asyncio.sleep(DRAIN_WAIT_S + 1)
+        await self.announce_state("DELETE", {})
         self.crash()
 
-    async def leave_unannounced(self, killed):
-        """Says that it is gone, serves on, and an older heartbeat comes late.
+    async def leave_and_kill_daemon(self, kill_daemon):
+        """Reports that it left but continues to serve, while a stale heartbeat arrives late.
 
-        killed: ends the daemon that has just acknowledged.
+        kill_daemon: kills the daemon that has just acknowledged the report.
         """
-        late = self.state("ready")
-        self.leaving_since = time.monotonic()
-        self.beating.cancel()
-        while not await self.say("DELETE", {}):
+        stale_heartbeat = self.state("ready")
+        self.draining_since = time.monotonic()
+        self.heartbeat_task.cancel()
+        while not await self.announce_state("DELETE", {}):
             await asyncio.sleep(0.1)
-        self.history.acknowledged(self.id)
-        killed()
+        self.history.draining_acknowledged(self.id)
+        kill_daemon()
         for _ in range(10):
             await asyncio.sleep(0.3)
-            await self.say("PUT", late)
+            await self.announce_state("PUT", stale_heartbeat)
         self.crash()
 
     def state(self, state):
+        """Returns the document of the next heartbeat."""
         self.sequence += 1
         return {
             "service": self.service,
@@ -95,20 +99,21 @@
             "born": self.born,
         }
 
-    async def say(self, method, document):
+    async def announce_state(self, method, document):
+        """Sends a document to the daemon; returns whether the daemon accepted it."""
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(*self.announce), 1)
             body = json.dumps(document).encode()
             writer.write(encode(f"{method} /api/instances/{self.id} HTTP/1.1", {"Host": "x"}, body))
-            answer = await asyncio.wait_for(read_message(reader), 1)
+            response = await asyncio.wait_for(read_message(reader), 1)
             await close(writer)
-            return answer.status // 100 == 2
+            return response.status // 100 == 2
         except (OSError, EOFError, asyncio.TimeoutError):
             return False
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
-            await self.say("PUT", self.state("draining" if self.leaving_since else "ready"))
+            await self.announce_state("PUT", self.state("draining" if self.draining_since else "ready"))
             await asyncio.sleep(HEARTBEAT_S)
 
     async def serve(self, reader, writer):
@@ -140,15 +145,15 @@
             await asyncio.sleep(self.random.uniform(0.01, 0.08))
         finally:
             self.running = max(0, self.running - 1)
-        proof = f"{self.id}.{number}"
+        seal = f"{self.id}.{number}"
         body = (f"{number} by {self.id} " * self.random.randint(1, 60)).encode()
-        self.history.answered(number, proof, body)
-        answer = encode("HTTP/1.1 200 OK", {**echo, "X-Jackdawladder-Server-Seal": proof}, body)
-        if self.random.random() < self.lose:
+        self.history.answered(number, seal, body)
+        response = encode("HTTP/1.1 200 OK", {**echo, "X-Jackdawladder-Server-Seal": seal}, body)
+        if self.random.random() < self.lost_response_ratio:
             reset(writer)
             raise EOFError
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
-        if self.random.random() < self.extra:
+        if self.random.random() < self.repeated_response_ratio:
             await asyncio.sleep(0.01)
-            writer.write(answer)
+            writer.write(response)
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,10 +1,10 @@
-"""Minimal HTTP/1.1 for the soak's own clients, targets and store."""
+"""Minimal HTTP/1.1 for the simulated clients, targets and store of the soak test."""
 
 import asyncio
 
 
 class Message:
-    """A request or an answer with its whole body."""
+    """A request or response with its complete body; `first` is the start line."""
 
     def __init__(self, first, fields, body):
         self.first = first
@@ -17,7 +17,7 @@
 
 
 async def read_message(reader):
-    """Reads one message; raises EOFError at the end of the input."""
+    """Reads a message; raises EOFError if the input ends within its header."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
@@ -42,6 +42,7 @@
 
 
 def encode(first, fields, body=b""):
+    """Returns a message as bytes, with a Content-Length field."""
     lines = [first] + [f"{name}: {value}" for name, value in fields.items()]
     lines.append(f"Content-Length: {len(body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
@@ -56,5 +57,5 @@
 
 
 def reset(writer):
-    """Ends a connection by a reset."""
+    """Closes a connection with a TCP reset."""
     writer.transport.abort()
