--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -193,7 +193,7 @@
 /**
  * struct jl_event_claim_result - a JL_EFFECT_CLAIM has ended
  * @known: whether the platform confirmed who owns the key
- * @owner_ticket: ticket that the key stands for, only with @known; its minter
+ * @owner_ticket: ticket that the key stands for, only with @known; its issuer
  *                owns the key
  */
 struct jl_event_claim_result
@@ -210,7 +210,7 @@
  * @priority: see JL_PRIORITY_COUNT
  * @invested_us: time already spent on the request by the daemons upstream
  * @budget_us: time left until the deadline
- * @anchor: ticket whose minter keeps the at-most-once state of the call tree
+ * @anchor: ticket whose issuer keeps the at-most-once state of the call tree
  * @tokens: retry tokens lent to the attempt
  * @digest: digest of method, path and body
  */
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -50,7 +50,7 @@
  * @JL_CALL_NEW: no attempt is in progress
  * @JL_CALL_CLAIMING: waiting for JL_EVENT_CLAIM_RESULT
  * @JL_CALL_SENT: an attempt is in progress
- * @JL_CALL_FORWARDED: forwarded to the minter of its ticket
+ * @JL_CALL_FORWARDED: forwarded to the issuer of its ticket
  * @JL_CALL_CANCELLING: waiting for the guard to confirm a cancellation
  */
 enum jl_call_state
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -204,7 +204,7 @@
     }
 }
 
-/* Handles the end of a forward: the ticket's minter answered, or is lost. */
+/* Handles the end of a forward: the ticket's issuer answered, or is lost. */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -242,11 +242,11 @@
   return call;
 }
 
-/* Only the minter of its ticket may send an at-most-once call to a target. */
+/* Only the issuer of its ticket may send an at-most-once call to a target. */
 static void
 dispatch_guarded (struct jl_core *core, struct jl_call *call)
 {
-  if (call->ticket.minter.member != core->identity.member)
+  if (call->ticket.issuer.member != core->identity.member)
     {
       jl_entry_forward (core, call);
       return;
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -60,7 +60,7 @@
   core->target.service = JL_NONE;
   if (core->config != NULL)
     core->target.service
-        = jl_config_service (core->config, core->target.service_name);
+        = jl_config_find_service (core->config, core->target.service_name);
 }
 
 void
@@ -397,7 +397,7 @@
                   core->now_us + DRAIN_NOTICE_US, handle_drain_notice_end,
                   core);
   jl_members_leave (core);
-  jl_log_event (core, JL_LOG_DRAIN_BEGUN, 0, 0);
+  jl_log_event (core, JL_LOG_DRAIN_STARTED, 0, 0);
 }
 
 void
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -184,7 +184,7 @@
 struct jl_ticket
 jl_once_mint_ticket (struct jl_core *core)
 {
-  struct jl_ticket ticket = { .minter = core->identity };
+  struct jl_ticket ticket = { .issuer = core->identity };
 
   expire_mint_marks (core);
   ticket.number = ++core->once->minted;
@@ -287,7 +287,7 @@
 static bool
 is_ticket_valid (const struct jl_core *core, struct jl_ticket ticket)
 {
-  return jl_identity_equal (ticket.minter, core->identity)
+  return jl_identity_equal (ticket.issuer, core->identity)
          && ticket.number <= core->once->minted
          && ticket.number > core->once->expired_upto;
 }
--- a/tests/support/print.c
+++ b/tests/support/print.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Events and effects as text.
+ * DOC: Formats events and effects as text.
  */
 
 #include "print.h"
@@ -39,7 +39,7 @@
                             now_us % JL_USEC_PER_MSEC);
 }
 
-/* Members of scripted runs by number, all others by address. */
+/* Prints members of scripted and random runs by number, others by address. */
 static void
 print_member (GString *out, const char *name, uint64_t member)
 {
@@ -61,7 +61,7 @@
   g_string_append_printf (out, " %s=%" PRIu64, name, number);
 }
 
-/* A number that is left out where it is zero. */
+/* Prints a number unless it is zero. */
 static void
 print_optional (GString *out, const char *name, uint64_t number)
 {
@@ -328,7 +328,7 @@
                const struct jl_effect_forward *forward)
 {
   g_string_append_printf (out, "forward %" PRIu64, forward->call);
-  print_member (out, "to", forward->ticket.minter.member);
+  print_member (out, "to", forward->ticket.issuer.member);
   print_number (out, "attempt", forward->attempt.number);
   print_ticket (out, "ticket", forward->ticket);
   print_kind (out, config, forward->kind);
--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -63,7 +63,7 @@
     return;
   simulation->crashes++;
   simulation->down_until_us[node] = restarted_us;
-  jl_site_crash (&simulation->site, node, CRASH_DELAY_US);
+  jl_site_crash_target (&simulation->site, node, CRASH_DELAY_US);
   jl_site_announce (&simulation->site, node, "front", SLOTS,
                     ++simulation->start_count[node], restarted_us, END_US);
 }
@@ -74,11 +74,11 @@
   struct simulation *simulation = site->context;
 
   if (simulation->down_until_us[work->node] > site->now_us)
-    jl_site_end (site, work->number, JL_RUN_NOT_SENT, 0, 0);
+    jl_site_end_run (site, work->number, JL_RUN_NOT_SENT, 0, 0);
   else if (work->digest == POISON_DIGEST)
     crash_target (simulation, work->node);
   else
-    jl_site_end (site, work->number, JL_RUN_ANSWERED, 200, RUN_TIME_US);
+    jl_site_end_run (site, work->number, JL_RUN_ANSWERED, 200, RUN_TIME_US);
 }
 
 static void
--- a/tests/unit/feedback.c
+++ b/tests/unit/feedback.c
@@ -150,7 +150,8 @@
 
   if (work->node == DEEP || !simulation->calls_deep)
     {
-      jl_site_end (site, work->number, JL_RUN_ANSWERED, HTTP_OK, run_time_us);
+      jl_site_end_run (site, work->number, JL_RUN_ANSWERED, HTTP_OK,
+                       run_time_us);
       return;
     }
   call.call.call = work->number;
@@ -171,8 +172,8 @@
 
   if (node == FRONT)
     {
-      jl_site_end (site, answer->call, JL_RUN_ANSWERED,
-                   status == HTTP_OK ? HTTP_OK : HTTP_UNAVAILABLE, 0);
+      jl_site_end_run (site, answer->call, JL_RUN_ANSWERED,
+                       status == HTTP_OK ? HTTP_OK : HTTP_UNAVAILABLE, 0);
       return;
     }
   counts = &simulation->counts[g_array_index (simulation->kinds, uint32_t,
