--- a/Makefile
+++ b/Makefile
@@ -1,13 +1,15 @@
 # jackdawladder
 #
 #   make            build the daemon and the tool
-#   make check      install what is missing, build, run all tests
+#   make check      install missing packages, build, run all tests
 #   make demo       a small three-zone site under load
-#   make bench      figures, never a verdict
+#   make bench      print benchmark figures, without pass or fail
 #   make soak       random runs with fresh seeds for SECONDS=60
 #   make lint       formatter and linter
 #
-# SANITIZE=address,undefined or thread, TEST_HOOKS=1, BUILD=directory.
+# Variables: SANITIZE=address,undefined or SANITIZE=thread builds with
+# sanitizers, TEST_HOOKS=1 builds the test hooks, and BUILD=directory sets the
+# output directory.
 
 CC ?= gcc
 BUILD ?= build
@@ -22,12 +24,13 @@
 ifdef TEST_HOOKS
 CPPFLAGS += -DJL_TEST_HOOKS
 endif
-# Set the first time a rule needs them, so that "make install" works without.
+# Evaluated when a rule first uses them, so that "make install-packages" works
+# before the packages are installed.
 PKG_CFLAGS = $(eval PKG_CFLAGS := $$(shell pkg-config --cflags $(PACKAGES)))$(PKG_CFLAGS)
 PKG_LIBS = $(eval PKG_LIBS := $$(shell pkg-config --libs $(PACKAGES)))$(PKG_LIBS)
 LIBS = -lcivetweb $(PKG_LIBS) -pthread -lm
 
-# The proxy links only what it uses; it must be small.
+# The proxy must be small, so it links only the libraries and sources it uses.
 PROXY_PACKAGES = glib-2.0 json-c libuv libtirpc libxxhash
 PROXY_CFLAGS = $(eval PROXY_CFLAGS := $$(shell pkg-config --cflags $(PROXY_PACKAGES)))$(PROXY_CFLAGS)
 PROXY_LIBS = $(eval PROXY_LIBS := $$(shell pkg-config --libs $(PROXY_PACKAGES)))$(PROXY_LIBS)
@@ -70,14 +73,14 @@
 
 benches: $(BENCHES)
 
-# Needs CC=clang SANITIZE=fuzzer,address and a BUILD of its own.
+# The fuzzers need CC=clang, SANITIZE=fuzzer,address and a separate BUILD.
 fuzzers: $(FUZZ)
 
 $(BUILD)/%.o: %.c
 	@mkdir -p $(@D)
 	$(CC) $(CPPFLAGS) $(CFLAGS) $(PKG_CFLAGS) -MMD -MP -c $< -o $@
 
-# What rpcgen makes is not ours to keep free of warnings.
+# Warnings are disabled for sources that rpcgen generates.
 $(BUILD)/source/rpc/gen/%.o: CFLAGS += -w
 
 $(LIBRARY): $(call OBJECT,$(LIB_SOURCES))
@@ -135,7 +138,7 @@
 bench: install-packages
 	scripts/bench
 
-# Needs TEST_HOOKS=1 like all tests.
+# Like all tests, the random runs need TEST_HOOKS=1.
 soak: $(RANDOM)
 	BUILD=$(BUILD) scripts/soak $(or $(SECONDS),60)
 
