--- a/source/rpc/beacon.x
+++ b/source/rpc/beacon.x
@@ -1,5 +1,5 @@
 /*
- * What daemons tell each other of themselves, one datagram each.
+ * Beacons: UDP datagrams in which each daemon announces its state to others.
  */
 
 const BEACON_TEXT_MAX = 200;
--- a/source/rpc/control.x
+++ b/source/rpc/control.x
@@ -1,6 +1,6 @@
 /*
- * Control messages between daemons. One procedure, one way: no reply is ever
- * sent, since answers are messages of their own.
+ * Control messages between daemons. The program has a single one-way procedure:
+ * no RPC reply is ever sent, since answers are separate control messages.
  */
 
 const WIRE_NAME_MAX = 47;
