--- a/source/policy/lane.c
+++ b/source/policy/lane.c
@@ -53,13 +53,13 @@
                      const struct jl_lane_item *item,
                      uint64_t held_us)
 {
-  double left_us = (double)(item->expires_us - item->arrived_us);
+  double remaining_us = (double)(item->expires_us - item->arrived_us);
   double wait_us;
 
   if (item->rank == 0 || lane->limit == 0)
     return false;
   wait_us = (double)lane->waiting * (double)held_us / lane->limit;
-  return wait_us > WAIT_SHARE_MAX * left_us;
+  return wait_us > WAIT_SHARE_MAX * remaining_us;
 }
 
 void
--- a/source/policy/load-shedder.c
+++ b/source/policy/load-shedder.c
@@ -31,9 +31,9 @@
 {
   memset (shedder, 0, sizeof *shedder);
   shedder->spare_share = 1;
-  shedder->admitted = 1;
+  shedder->admitted_share = 1;
   for (unsigned i = 0; i < JL_CONTROL_DELAY_WINDOWS; i++)
-    shedder->history[i] = 1;
+    shedder->admitted_history[i] = 1;
 }
 
 void
@@ -43,9 +43,9 @@
 }
 
 void
-jl_load_shedder_record_hold (struct jl_load_shedder *shedder, uint64_t held_us)
+jl_load_shedder_record_hold (struct jl_load_shedder *shedder, uint64_t hold_us)
 {
-  double held = (double)held_us;
+  double held = (double)hold_us;
 
   if (shedder->hold_us <= 0)
     shedder->hold_us = held;
@@ -73,26 +73,27 @@
 /* Averages the admitted share of JL_CONTROL_DELAY_WINDOWS windows ago, which
  * shows in the arrivals of this window, and stores the current one. */
 static void
-update_admitted (struct jl_load_shedder *shedder)
+update_admitted_share (struct jl_load_shedder *shedder)
 {
-  double *slot = &shedder->history[shedder->window % JL_CONTROL_DELAY_WINDOWS];
+  double *slot
+      = &shedder->admitted_history[shedder->window % JL_CONTROL_DELAY_WINDOWS];
 
-  shedder->admitted += RATE_WEIGHT * (*slot - shedder->admitted);
-  *slot = 1 - shedder->shed;
+  shedder->admitted_share += RATE_WEIGHT * (*slot - shedder->admitted_share);
+  *slot = 1 - shedder->shed_share;
   shedder->window++;
 }
 
 static void
-update_shed (struct jl_load_shedder *shedder, double desired)
+update_shed_share (struct jl_load_shedder *shedder, double desired)
 {
-  double demand = shedder->rate / shedder->admitted;
+  double demand = shedder->arrival_rate / shedder->admitted_share;
   double shed = demand > desired ? 1 - desired / demand : 0;
-  double step = shed > shedder->shed ? STEP_UP_SHARE : STEP_DOWN_SHARE;
+  double step = shed > shedder->shed_share ? STEP_UP_SHARE : STEP_DOWN_SHARE;
 
-  shedder->shed += step * (shed - shedder->shed);
-  if (shed <= 0 && shedder->shed < SHED_MIN)
-    shedder->shed = 0;
-  shedder->shed = MIN (shedder->shed, SHED_MAX);
+  shedder->shed_share += step * (shed - shedder->shed_share);
+  if (shed <= 0 && shedder->shed_share < SHED_MIN)
+    shedder->shed_share = 0;
+  shedder->shed_share = MIN (shedder->shed_share, SHED_MAX);
 }
 
 void
@@ -105,11 +106,11 @@
                 / (double)JL_CONTROL_WINDOW_US;
 
   shedder->arrivals = 0;
-  shedder->rate += RATE_WEIGHT * (rate - shedder->rate);
-  update_admitted (shedder);
+  shedder->arrival_rate += RATE_WEIGHT * (rate - shedder->arrival_rate);
+  update_admitted_share (shedder);
   if (capacity <= 0)
     return;
-  update_shed (shedder, desired_rate (capacity, limit, waiting));
+  update_shed_share (shedder, desired_rate (capacity, limit, waiting));
   shedder->spare_share
-      = CLAMP (SPARE_UTILIZATION - shedder->rate / capacity, 0, 1);
+      = CLAMP (SPARE_UTILIZATION - shedder->arrival_rate / capacity, 0, 1);
 }
--- a/source/policy/load-shedder.h
+++ b/source/policy/load-shedder.h
@@ -23,25 +23,26 @@
 
 /**
  * struct jl_load_shedder - state for one target
- * @shed: share of the demand that entries should refuse, 0 to 1
+ * @shed_share: share of the demand that entries should refuse, 0 to 1
  * @spare_share: share of the capacity that is free for other zones, 0 to 1
  * @hold_us: exponential moving average of the time for which a request holds a
  *           slot
- * @rate: arrivals a second, exponential moving average
- * @admitted: admitted share of the demand, averaged like @rate
- * @history: ring of the admitted shares of past windows that do not show in
- *           @rate yet
+ * @arrival_rate: arrivals a second, exponential moving average
+ * @admitted_share: admitted share of the demand, averaged like @arrival_rate
+ * @admitted_history: ring of the admitted shares of past windows that do not
+ * show in
+ *           @arrival_rate yet
  * @window: number of windows so far
  * @arrivals: arrivals in this window
  */
 struct jl_load_shedder
 {
-  double shed;
+  double shed_share;
   double spare_share;
   double hold_us;
-  double rate;
-  double admitted;
-  double history[JL_CONTROL_DELAY_WINDOWS];
+  double arrival_rate;
+  double admitted_share;
+  double admitted_history[JL_CONTROL_DELAY_WINDOWS];
   unsigned window;
   unsigned arrivals;
 };
@@ -55,10 +56,10 @@
 
 /**
  * jl_load_shedder_record_hold - records that a request held its slot for
- * @held_us
+ * @hold_us
  */
 void jl_load_shedder_record_hold (struct jl_load_shedder *shedder,
-                                  uint64_t held_us);
+                                  uint64_t hold_us);
 
 /**
  * jl_load_shedder_end_window - updates the shares at the end of a control
--- a/source/policy/origin.c
+++ b/source/policy/origin.c
@@ -14,17 +14,17 @@
 #define ABSENT_BELOW 0.3
 
 void
-jl_arrivals_add (struct jl_arrivals *arrivals, uint32_t route, double count)
+jl_arrivals_add (struct jl_arrivals *arrivals, uint32_t route_key, double count)
 {
   for (unsigned i = 0; i < arrivals->count; i++)
-    if (arrivals->list[i].route == route)
+    if (arrivals->list[i].route_key == route_key)
       {
         arrivals->list[i].count += count;
         return;
       }
   if (arrivals->count == JL_ARRIVAL_ROUTES_MAX)
     return;
-  arrivals->list[arrivals->count].route = route;
+  arrivals->list[arrivals->count].route_key = route_key;
   arrivals->list[arrivals->count].count = count;
   arrivals->count++;
 }
@@ -44,7 +44,8 @@
 }
 
 bool
-jl_arrivals_is_route_absent (const struct jl_arrivals *arrivals, uint32_t route)
+jl_arrivals_is_route_absent (const struct jl_arrivals *arrivals,
+                             uint32_t route_key)
 {
   double total = 0;
   double own = 0;
@@ -52,7 +53,7 @@
   for (unsigned i = 0; i < arrivals->count; i++)
     {
       total += arrivals->list[i].count;
-      if (arrivals->list[i].route == route)
+      if (arrivals->list[i].route_key == route_key)
         own = arrivals->list[i].count;
     }
   return total >= TOTAL_MIN && own < ABSENT_BELOW;
--- a/source/policy/origin.h
+++ b/source/policy/origin.h
@@ -18,12 +18,12 @@
 
 /**
  * struct jl_arrival - recent requests of one route
- * @route: the route's key
+ * @route_key: the route's key
  * @count: exponentially decaying number over some seconds
  */
 struct jl_arrival
 {
-  uint32_t route;
+  uint32_t route_key;
   double count;
 };
 
@@ -38,12 +38,13 @@
 };
 
 /**
- * jl_arrivals_add - counts @count more requests of @route
+ * jl_arrivals_add - counts @count more requests of @route_key
  *
  * Requests of a new route are not counted when the list is full.
  */
-void
-jl_arrivals_add (struct jl_arrivals *arrivals, uint32_t route, double count);
+void jl_arrivals_add (struct jl_arrivals *arrivals,
+                      uint32_t route_key,
+                      double count);
 
 /**
  * jl_arrivals_decay - decays the counts; called about every quarter of a second
@@ -52,9 +53,9 @@
 
 /**
  * jl_arrivals_is_route_absent - whether @arrivals holds enough requests, but
- * almost none of @route
+ * almost none of @route_key
  */
 bool jl_arrivals_is_route_absent (const struct jl_arrivals *arrivals,
-                                  uint32_t route);
+                                  uint32_t route_key);
 
 #endif
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -46,9 +46,9 @@
  * @sent_own_zone_us: time of the last beacons to the own zone
  * @sent_other_zones_us: time of the last beacons to other zones
  * @sent_full_us: time of the last full beacons to other zones
- * @sent_shed: refused share last sent to the own zone
- * @sent_room: spare capacity last sent to the own zone
- * @sent_failing: failure ratio last sent to the own zone
+ * @sent_shed_share: refused share last sent to the own zone
+ * @sent_spare_share: spare capacity last sent to the own zone
+ * @sent_failure_rate: failure ratio last sent to the own zone
  * @buffer: received datagram
  */
 struct jl_beacon
@@ -60,9 +60,9 @@
   uint64_t sent_own_zone_us;
   uint64_t sent_other_zones_us;
   uint64_t sent_full_us;
-  double sent_shed;
-  double sent_room;
-  double sent_failing;
+  double sent_shed_share;
+  double sent_spare_share;
+  double sent_failure_rate;
   char buffer[DATAGRAM_BYTES_MAX];
 };
 
@@ -140,7 +140,7 @@
   member->sequence = message->sequence;
   member->state = (enum jl_target_state)message->state;
   member->limit = message->limit;
-  member->shed = message->shed_milli / 1000.0;
+  member->shed_share = message->shed_milli / 1000.0;
   member->spare_share = message->room_milli / 1000.0;
   member->capacity
       = message->hold_us > 0 ? member->limit * 1e6 / message->hold_us : 0;
@@ -166,7 +166,7 @@
       || message->state > JL_TARGET_DOWN
       || strcmp (message->name, proxy->options->name) == 0)
     return;
-  member = jl_roster_member (&proxy->roster, message->name);
+  member = jl_roster_get_or_add (&proxy->roster, message->name);
   if (!jl_member_beacon_is_newer (member, message->epoch, message->sequence,
                                   now_us))
     return;
@@ -241,7 +241,7 @@
 
   for (unsigned i = 0; i < arrivals->count; i++)
     {
-      list[i].route = arrivals->list[i].route;
+      list[i].route = arrivals->list[i].route_key;
       list[i].count_centi = (u_int)lround (arrivals->list[i].count * 100);
     }
   return arrivals->count;
@@ -266,9 +266,9 @@
     .sequence = ++beacon->sequence,
     .state = proxy->self->state,
     .limit = proxy->lane.limit,
-    .shed_milli = (u_int)lround (proxy->pressure.shed * 1000),
-    .room_milli = (u_int)lround (proxy->pressure.spare_share * 1000),
-    .hold_us = (u_int)proxy->pressure.hold_us,
+    .shed_milli = (u_int)lround (proxy->load_shedder.shed_share * 1000),
+    .room_milli = (u_int)lround (proxy->load_shedder.spare_share * 1000),
+    .hold_us = (u_int)proxy->load_shedder.hold_us,
     .failing_milli = (u_int)lround (proxy->self->failure_rate * 1000),
     .site_version = proxy->site != NULL ? proxy->site->version : 0,
   };
@@ -335,9 +335,9 @@
   const struct jl_proxy *proxy = beacon->proxy;
 
   beacon->sent_own_zone_us = jl_now ();
-  beacon->sent_shed = proxy->pressure.shed;
-  beacon->sent_room = proxy->pressure.spare_share;
-  beacon->sent_failing = proxy->self->failure_rate;
+  beacon->sent_shed_share = proxy->load_shedder.shed_share;
+  beacon->sent_spare_share = proxy->load_shedder.spare_share;
+  beacon->sent_failure_rate = proxy->self->failure_rate;
   send_to_members (beacon, true, true);
 }
 
@@ -355,14 +355,14 @@
 static bool
 has_changed (const struct jl_beacon *beacon)
 {
-  const struct jl_load_shedder *pressure = &beacon->proxy->pressure;
+  const struct jl_load_shedder *shedder = &beacon->proxy->load_shedder;
 
-  return fabs (pressure->shed - beacon->sent_shed) > CHANGE_MIN_RATIO
-         || fabs (pressure->spare_share - beacon->sent_room)
+  return fabs (shedder->shed_share - beacon->sent_shed_share) > CHANGE_MIN_RATIO
+         || fabs (shedder->spare_share - beacon->sent_spare_share)
                 > CHANGE_MIN_RATIO * 3
-         || fabs (beacon->proxy->self->failure_rate - beacon->sent_failing)
+         || fabs (beacon->proxy->self->failure_rate - beacon->sent_failure_rate)
                 > CHANGE_MIN_RATIO * 2
-         || (pressure->shed > 0) != (beacon->sent_shed > 0);
+         || (shedder->shed_share > 0) != (beacon->sent_shed_share > 0);
 }
 
 static void
--- a/source/proxy/call.c
+++ b/source/proxy/call.c
@@ -61,7 +61,7 @@
   char *lines = g_strdup_printf ("Content-Type: text/plain\r\n%s", fields);
 
   if (call->from_target)
-    jl_failure_rate_count_failed_call (&call->proxy->failing);
+    jl_failure_rate_count_failed_call (&call->proxy->failure_rate);
   jl_request_set_data (request, NULL);
   jl_call_cancel_upstream (call);
   jl_request_reply (request, status, lines, body, strlen (body));
@@ -71,14 +71,14 @@
 
 /* Returns the admission plan of the request's route, for the log. */
 static const struct jl_plan *
-plan_of (const struct jl_call *call)
+find_plan (const struct jl_call *call)
 {
   static const struct jl_plan none
       = { .admit_share = 1, .limiting_service = "-" };
   const struct jl_proxy *proxy = call->proxy;
 
   for (unsigned i = 0; call->route != NULL && i < proxy->demand_count; i++)
-    if (proxy->demands[i].route == call->route->key)
+    if (proxy->demands[i].route_key == call->route->key)
       return &proxy->demands[i].plan;
   return &none;
 }
@@ -88,15 +88,15 @@
 {
   struct jl_proxy *proxy = call->proxy;
   uint64_t now_us = jl_now ();
-  uint64_t left_ms = call->expires_us > now_us
-                         ? (call->expires_us - now_us) / JL_USEC_PER_MSEC
-                         : 0;
+  uint64_t remaining_ms = call->expires_us > now_us
+                              ? (call->expires_us - now_us) / JL_USEC_PER_MSEC
+                              : 0;
   uint64_t after_ms = RETRY_AFTER_MIN_MS
                       + (uint64_t)g_random_int_range (0, RETRY_AFTER_JITTER_MS);
-  const struct jl_plan *plan = plan_of (call);
+  const struct jl_plan *plan = find_plan (call);
   char fields[64];
 
-  after_ms = MIN (after_ms, left_ms / RETRY_AFTER_DIVISOR);
+  after_ms = MIN (after_ms, remaining_ms / RETRY_AFTER_DIVISOR);
   proxy->counters.refused++;
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_REFUSED,
              "id=%s route=%s reason=%s placements=%u age_ms=%" PRIu64
@@ -104,9 +104,9 @@
              " short_of=%s shed=%.2f keep=%.2f beliefs_age_ms=%" PRIu64,
              jl_call_attempt_id (call),
              call->route != NULL ? call->route->name : "-", reason,
-             call->tried_count, jl_call_age_ms (call), left_ms, after_ms,
+             call->tried_count, jl_call_age_ms (call), remaining_ms, after_ms,
              call->site != NULL ? call->site->version : 0,
-             plan->limiting_service, plan->shed, plan->admit_share,
+             plan->limiting_service, plan->shed_share, plan->admit_share,
              (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
   g_snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n",
               (double)after_ms / 1000);
@@ -123,7 +123,7 @@
              jl_call_attempt_id (call), call->route->name, status, reason,
              call->tried_count > 0 ? call->tried[call->tried_count - 1]->name
                                    : "-",
-             call->arrivals, jl_call_age_ms (call));
+             call->targets_reached, jl_call_age_ms (call));
   jl_call_answer (call, status, "", reason);
 }
 
--- a/source/proxy/call.h
+++ b/source/proxy/call.h
@@ -22,12 +22,14 @@
  * @from_target: the request is taken for a call of the own target, by its route
  * @begun_us: time of arrival
  * @expires_us: deadline: the earlier of the client's and the route's timeout
- * @body_dropped: the body exceeds the buffer, so the request cannot be resent
+ * @body_not_buffered: the body exceeds the buffer, so the request cannot be
+ * resent
  * @body_bytes: size of the body received so far
  * @member: daemon of the current upstream request, NULL for none
  * @tried: daemons to which the request was sent
  * @tried_count: number of @tried
- * @arrivals: number of targets that the request has, or may have, reached
+ * @targets_reached: number of targets that the request has, or may have,
+ * reached
  * @may_have_run: a target may have run the request
  * @reason: why the last attempt failed, "" before the first failure
  * @timer: connection timeout, then the deadline
@@ -44,12 +46,12 @@
   bool from_target;
   uint64_t begun_us;
   uint64_t expires_us;
-  bool body_dropped;
+  bool body_not_buffered;
   uint64_t body_bytes;
   struct jl_member *member;
   struct jl_member *tried[JL_PLACEMENTS_MAX];
   unsigned tried_count;
-  unsigned arrivals;
+  unsigned targets_reached;
   bool may_have_run;
   char reason[32];
   struct jl_timer timer;
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -46,12 +46,12 @@
   struct jl_demand *demand;
 
   for (unsigned i = 0; i < proxy->demand_count; i++)
-    if (proxy->demands[i].route == route->key)
+    if (proxy->demands[i].route_key == route->key)
       return &proxy->demands[i];
   if (proxy->demand_count == JL_DEMAND_ROUTES_MAX)
     return NULL;
   demand = &proxy->demands[proxy->demand_count++];
-  demand->route = route->key;
+  demand->route_key = route->key;
   demand->plan.zone = proxy->roster.own_zone;
   demand->plan.admit_share = 1;
   demand->plan.limiting_service = "";
@@ -68,9 +68,10 @@
 
   proxy->call_route_count = 0;
   for (unsigned i = 0; i < arrivals->count; i++)
-    if (jl_roster_is_call_route (&proxy->roster, arrivals->list[i].route,
+    if (jl_roster_is_call_route (&proxy->roster, arrivals->list[i].route_key,
                                  now_us))
-      proxy->call_routes[proxy->call_route_count++] = arrivals->list[i].route;
+      proxy->call_routes[proxy->call_route_count++]
+          = arrivals->list[i].route_key;
 }
 
 /* Estimates the call tree of a route anew; it is empty if the configuration in
@@ -79,7 +80,7 @@
 update_call_tree (struct jl_proxy *proxy, struct jl_demand *demand)
 {
   const struct jl_route *route
-      = jl_site_route_by_key (proxy->site, demand->route);
+      = jl_site_route_by_key (proxy->site, demand->route_key);
 
   demand->tree.count = 0;
   if (route == NULL)
@@ -175,10 +176,10 @@
 }
 
 bool
-jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route)
+jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route_key)
 {
   for (unsigned i = 0; i < proxy->call_route_count; i++)
-    if (proxy->call_routes[i] == route)
+    if (proxy->call_routes[i] == route_key)
       return true;
   return false;
 }
--- a/source/proxy/demand.h
+++ b/source/proxy/demand.h
@@ -20,9 +20,9 @@
 
 /**
  * jl_demand_is_call_route - whether a route carries calls of targets
- * @route: the route's key
+ * @route_key: the route's key
  */
-bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route);
+bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route_key);
 
 /**
  * jl_demand_choose_call_zone - chooses the zone of a call of the own target to
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -17,7 +17,7 @@
 #include <string.h>
 
 /* Maximum size of a request's body that is buffered for a further attempt. */
-#define KEPT_BODY_BYTES_MAX 262144u
+#define BUFFERED_BODY_BYTES_MAX 262144u
 /* Timeout for sending the first byte of a request to a daemon. */
 #define CONNECT_TIMEOUT_US (250 * JL_USEC_PER_MSEC)
 /* Status of a target's answer when the request's deadline has passed. */
@@ -27,7 +27,7 @@
 
 /* Returns NULL if @relay is NULL, as the data of an answered request is. */
 static struct jl_call *
-call_of (struct jl_relay *relay)
+call_from_relay (struct jl_relay *relay)
 {
   return relay != NULL ? caa_container_of (relay, struct jl_call, relay) : NULL;
 }
@@ -35,7 +35,7 @@
 static bool
 can_place_again (const struct jl_call *call)
 {
-  return call->tried_count < JL_PLACEMENTS_MAX && !call->body_dropped
+  return call->tried_count < JL_PLACEMENTS_MAX && !call->body_not_buffered
          && jl_now () < call->expires_us;
 }
 
@@ -46,7 +46,7 @@
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_PLACED_AGAIN,
              "id=%s route=%s reason=%s member=%s arrivals=%u age_ms=%" PRIu64,
              jl_call_attempt_id (call), call->route->name, reason,
-             call->tried[call->tried_count - 1]->name, call->arrivals,
+             call->tried[call->tried_count - 1]->name, call->targets_reached,
              jl_call_age_ms (call));
   g_strlcpy (call->reason, reason, sizeof call->reason);
   place_call (call);
@@ -69,9 +69,10 @@
 static void
 handle_target_refused (struct jl_call *call, const char *reason)
 {
-  call->arrivals++;
+  call->targets_reached++;
   jl_call_cancel_upstream (call);
-  if (call->arrivals < call->route->attempts_max && can_place_again (call)
+  if (call->targets_reached < call->route->attempts_max
+      && can_place_again (call)
       && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
   else
@@ -83,13 +84,13 @@
 static void
 handle_unknown_outcome (struct jl_call *call, const char *reason)
 {
-  bool repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
+  bool idempotent = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
                     || JL_TEST_DISABLED ("once");
 
-  call->arrivals++;
+  call->targets_reached++;
   call->may_have_run = true;
   jl_call_cancel_upstream (call);
-  if (repeatable && call->arrivals < call->route->attempts_max
+  if (idempotent && call->targets_reached < call->route->attempts_max
       && can_place_again (call)
       && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
@@ -98,12 +99,12 @@
 }
 
 static void
-note_served (struct jl_call *call, unsigned status)
+record_served (struct jl_call *call, unsigned status)
 {
   struct jl_proxy *proxy = call->proxy;
 
   if (status >= 500 && call->from_target)
-    jl_failure_rate_count_failed_call (&proxy->failing);
+    jl_failure_rate_count_failed_call (&proxy->failure_rate);
   proxy->counters.served++;
   jl_histogram_add (&proxy->counters.request_time, jl_now () - call->begun_us);
   if (jl_record_allowed (JL_RECORD_SUCCESS))
@@ -119,7 +120,7 @@
 {
   struct jl_request *request = call->relay.request;
 
-  note_served (call, jl_upstream_head (call->relay.upstream)->status);
+  record_served (call, jl_upstream_head (call->relay.upstream)->status);
   jl_request_set_data (request, NULL);
   jl_call_free (call);
   jl_request_end_response (request);
@@ -143,20 +144,20 @@
   if (call->route->retry_policy != JL_RETRY_POLICY_IDEMPOTENT
       || jl_upstream_head (call->relay.upstream)->status
              == STATUS_GATEWAY_TIMEOUT
-      || call->arrivals + 1 >= call->route->attempts_max
+      || call->targets_reached + 1 >= call->route->attempts_max
       || !can_place_again (call)
       || !jl_demand_spend_retry (call->proxy, call->site, call->route))
     return false;
-  call->arrivals++;
+  call->targets_reached++;
   call->may_have_run = true;
   jl_call_cancel_upstream (call);
   return true;
 }
 
 static void
-on_answer (void *context, struct jl_upstream *upstream)
+on_response (void *context, struct jl_upstream *upstream)
 {
-  struct jl_call *call = call_of (context);
+  struct jl_call *call = call_from_relay (context);
   const struct jl_head *head = jl_upstream_head (upstream);
   const char *outcome = jl_head_get (head, JL_OUTCOME_FIELD);
   const char *field = jl_head_get (head, JL_REASON_FIELD);
@@ -181,10 +182,10 @@
 }
 
 static void
-on_done (void *context, struct jl_upstream *upstream)
+on_complete (void *context, struct jl_upstream *upstream)
 {
   (void)upstream;
-  finish_answer (call_of (context));
+  finish_answer (call_from_relay (context));
 }
 
 /* Ends a request whose answer broke off after its head was passed on. Closes
@@ -210,7 +211,7 @@
            struct jl_upstream *upstream,
            enum jl_upstream_failure failure)
 {
-  struct jl_call *call = call_of (context);
+  struct jl_call *call = call_from_relay (context);
 
   (void)upstream;
   if (call->relay.answer_started)
@@ -226,9 +227,9 @@
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .response = on_answer,
-  .body = jl_relay_on_piece,
-  .complete = on_done,
+  .response = on_response,
+  .body = jl_relay_on_response_body,
+  .complete = on_complete,
   .drained = jl_relay_on_drained,
   .failed = on_failed,
 };
@@ -268,10 +269,12 @@
   const struct jl_head *head = jl_request_head (call->relay.request);
   struct jl_work_header work = {
     .rank = call->route->rank,
-    .left_ms = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
-    .goal_ms = (unsigned)(call->route->latency_goal_us / JL_USEC_PER_MSEC),
-    .route = call->route->key,
-    .repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT,
+    .remaining_ms
+    = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
+    .latency_goal_ms
+    = (unsigned)(call->route->latency_goal_us / JL_USEC_PER_MSEC),
+    .route_key = call->route->key,
+    .idempotent = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT,
   };
   GString *text;
 
@@ -313,7 +316,7 @@
   jl_timer_start (proxy->loop->timers, &call->timer,
                   MIN (call->expires_us, now_us + CONNECT_TIMEOUT_US), on_timer,
                   call);
-  jl_relay_send_kept_body (&call->relay);
+  jl_relay_send_buffered_body (&call->relay);
 }
 
 /* Chooses a service at random, by the weights of the route's split. */
@@ -368,7 +371,7 @@
 {
   struct jl_proxy *proxy = call->proxy;
   struct jl_demand *demand = jl_demand_track (proxy, call->route);
-  struct jl_retry_budget_policy terms = jl_demand_retry_policy (proxy);
+  struct jl_retry_budget_policy policy = jl_demand_retry_policy (proxy);
   struct jl_retry_budget *budget
       = jl_demand_retry_budget (proxy, call->service);
 
@@ -379,7 +382,7 @@
       return;
     }
   if (budget != NULL)
-    jl_retry_budget_count_request (budget, &terms, jl_now ());
+    jl_retry_budget_count_request (budget, &policy, jl_now ());
   if (demand != NULL)
     {
       demand->window_requests++;
@@ -451,7 +454,7 @@
          const char *data,
          size_t size)
 {
-  struct jl_call *call = call_of (jl_request_data (request));
+  struct jl_call *call = call_from_relay (jl_request_data (request));
 
   (void)context;
   if (call == NULL || call->relay.answer_started)
@@ -462,21 +465,21 @@
       jl_call_answer (call, 413, "", "too-large");
       return;
     }
-  if (call->relay.kept_body->len + size <= KEPT_BODY_BYTES_MAX
-      && !call->body_dropped)
-    g_byte_array_append (call->relay.kept_body, (const guint8 *)data,
+  if (call->relay.buffered_body->len + size <= BUFFERED_BODY_BYTES_MAX
+      && !call->body_not_buffered)
+    g_byte_array_append (call->relay.buffered_body, (const guint8 *)data,
                          (guint)size);
   else
-    call->body_dropped = true;
+    call->body_not_buffered = true;
   if (call->relay.upstream == NULL)
     return;
   jl_relay_send_body (&call->relay, data, size);
 }
 
 static void
-on_gone (void *context, struct jl_request *request)
+on_disconnected (void *context, struct jl_request *request)
 {
-  struct jl_call *call = call_of (jl_request_data (request));
+  struct jl_call *call = call_from_relay (jl_request_data (request));
 
   (void)context;
   if (call == NULL)
@@ -495,7 +498,7 @@
   .body = on_body,
   .end = jl_relay_on_end,
   .drained = jl_relay_on_client_drained,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
 };
 
 void
--- a/source/proxy/guard.c
+++ b/source/proxy/guard.c
@@ -16,7 +16,7 @@
 
 /* Size of the buffered body of queued work above which the guard stops reading
  * from the sender. */
-#define WAITING_BODY_BYTES_MAX 65536
+#define QUEUED_BODY_BYTES_MAX 65536
 /* Timeout for sending the first byte of a request to the target, which is on
  * the same instance. */
 #define CONNECT_TIMEOUT_US (250 * JL_USEC_PER_MSEC)
@@ -59,7 +59,7 @@
 
 /* Returns NULL if @relay is NULL, as the data of an answered request is. */
 static struct jl_work *
-work_of (struct jl_relay *relay)
+work_from_relay (struct jl_relay *relay)
 {
   return relay != NULL ? caa_container_of (relay, struct jl_work, relay) : NULL;
 }
@@ -124,7 +124,7 @@
              "id=%s reason=%s service=%s rank=%u left_ms=%u running=%u "
              "waiting=%u limit=%u target=%s state=%s heard_ms=%" PRIu64,
              attempt_id_of (work), reason, work->header.service,
-             work->header.rank, work->header.left_ms, proxy->lane.running,
+             work->header.rank, work->header.remaining_ms, proxy->lane.running,
              proxy->lane.waiting, proxy->lane.limit, proxy->target.last.id,
              jl_target_state_name (proxy->target.state),
              (jl_now () - proxy->target.last_heartbeat_us) / JL_USEC_PER_MSEC);
@@ -137,7 +137,7 @@
   struct jl_proxy *proxy = work->proxy;
 
   proxy->counters.work_lost++;
-  jl_failure_rate_count_run (&proxy->failing, true);
+  jl_failure_rate_count_run (&proxy->failure_rate, true);
   jl_record (JL_RECORD_FAILURE, JL_RECORD_WORK_FAILED,
              "id=%s reason=%s target=%s ran_ms=%" PRIu64 " running=%u",
              attempt_id_of (work), reason, proxy->target.last.id,
@@ -149,13 +149,13 @@
 }
 
 static void
-note_served (struct jl_work *work, unsigned status)
+record_served (struct jl_work *work, unsigned status)
 {
   struct jl_proxy *proxy = work->proxy;
   uint64_t held_us = jl_now () - work->started_us;
 
-  jl_load_shedder_record_hold (&proxy->pressure, held_us);
-  jl_failure_rate_count_run (&proxy->failing,
+  jl_load_shedder_record_hold (&proxy->load_shedder, held_us);
+  jl_failure_rate_count_run (&proxy->failure_rate,
                              status >= 500 && status != STATUS_GATEWAY_TIMEOUT);
   jl_histogram_add (&proxy->counters.target_time, held_us);
   jl_histogram_add (&proxy->counters.lane_time,
@@ -175,7 +175,7 @@
   struct jl_proxy *proxy = work->proxy;
   struct jl_request *request = work->relay.request;
 
-  note_served (work, jl_upstream_head (work->relay.upstream)->status);
+  record_served (work, jl_upstream_head (work->relay.upstream)->status);
   jl_request_set_data (request, NULL);
   free_work (work);
   jl_request_end_response (request);
@@ -226,7 +226,8 @@
   struct jl_proxy *proxy = work->proxy;
   unsigned status = jl_upstream_head (work->relay.upstream)->status;
 
-  jl_failure_rate_count_run (&proxy->failing, status != STATUS_MISDIRECTED);
+  jl_failure_rate_count_run (&proxy->failure_rate,
+                             status != STATUS_MISDIRECTED);
   refuse_work (work, status == STATUS_MISDIRECTED ? "target-changed"
                                                   : "target-refused");
   jl_guard_run_queue (proxy);
@@ -240,9 +241,9 @@
 }
 
 static void
-on_answer (void *context, struct jl_upstream *upstream)
+on_response (void *context, struct jl_upstream *upstream)
 {
-  struct jl_work *work = work_of (context);
+  struct jl_work *work = work_from_relay (context);
   const struct jl_head *head = jl_upstream_head (upstream);
 
   if (target_did_not_run (head) && jl_upstream_is_complete (upstream))
@@ -256,10 +257,10 @@
 }
 
 static void
-on_done (void *context, struct jl_upstream *upstream)
+on_complete (void *context, struct jl_upstream *upstream)
 {
   (void)upstream;
-  finish_answer (work_of (context));
+  finish_answer (work_from_relay (context));
 }
 
 /* Ends work whose answer broke off after its head was passed on. Closes the
@@ -302,7 +303,7 @@
            struct jl_upstream *upstream,
            enum jl_upstream_failure failure)
 {
-  struct jl_work *work = work_of (context);
+  struct jl_work *work = work_from_relay (context);
   struct jl_proxy *proxy = work->proxy;
 
   (void)upstream;
@@ -325,9 +326,9 @@
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .response = on_answer,
-  .body = jl_relay_on_piece,
-  .complete = on_done,
+  .response = on_response,
+  .body = jl_relay_on_response_body,
+  .complete = on_complete,
   .drained = jl_relay_on_drained,
   .failed = on_failed,
 };
@@ -353,10 +354,10 @@
   struct jl_proxy *proxy = work->proxy;
   const struct jl_head *head = jl_request_head (work->relay.request);
   uint64_t now_us = jl_now ();
-  uint64_t left_us
+  uint64_t remaining_us
       = work->item.expires_us > now_us ? work->item.expires_us - now_us : 0;
   GString *text = jl_headers_to_target (
-      head, (unsigned)(left_us / JL_USEC_PER_MSEC), proxy->target.last.id);
+      head, (unsigned)(remaining_us / JL_USEC_PER_MSEC), proxy->target.last.id);
 
   work->running = true;
   work->started_us = now_us;
@@ -371,13 +372,13 @@
     }
   jl_loop_start_timer (proxy->loop, &work->timer, CONNECT_TIMEOUT_US,
                        on_connect_timer, work);
-  jl_relay_send_kept_body (&work->relay);
+  jl_relay_send_buffered_body (&work->relay);
   if (!jl_request_is_complete (work->relay.request))
     jl_request_set_read_paused (work->relay.request, false);
 }
 
 static struct jl_work *
-work_of_item (struct jl_lane_item *item)
+work_from_item (struct jl_lane_item *item)
 {
   return caa_container_of (item, struct jl_work, item);
 }
@@ -385,14 +386,14 @@
 void
 jl_guard_run_queue (struct jl_proxy *proxy)
 {
-  uint64_t needed_us = (uint64_t)(proxy->pressure.hold_us / 2);
+  uint64_t needed_us = (uint64_t)(proxy->load_shedder.hold_us / 2);
   struct jl_lane_item *item;
 
   while ((item = jl_lane_take_expired (&proxy->lane, jl_now (), needed_us))
          != NULL)
-    refuse_work (work_of_item (item), "expired");
+    refuse_work (work_from_item (item), "expired");
   while ((item = jl_lane_take_next (&proxy->lane)) != NULL)
-    start_work (work_of_item (item));
+    start_work (work_from_item (item));
 }
 
 void
@@ -409,7 +410,8 @@
 /* Returns the reason to refuse all work for a service now, NULL if there is
  * none. */
 static const char *
-refusal_reason (const struct jl_proxy *proxy, const struct jl_work_header *line)
+refusal_reason (const struct jl_proxy *proxy,
+                const struct jl_work_header *header)
 {
   if (JL_TEST_DISABLED ("drain"))
     return NULL;
@@ -419,7 +421,7 @@
     return "stopping";
   if (proxy->target.state != JL_TARGET_UP)
     return "no-target";
-  if (strcmp (proxy->target.last.service, line->service) != 0)
+  if (strcmp (proxy->target.last.service, header->service) != 0)
     return "other-service";
   return NULL;
 }
@@ -440,17 +442,17 @@
   work->item.rank = work->header.rank;
   work->item.arrived_us = jl_now ();
   work->item.expires_us
-      = work->item.arrived_us + work->header.left_ms * JL_USEC_PER_MSEC;
+      = work->item.arrived_us + work->header.remaining_ms * JL_USEC_PER_MSEC;
   work->item.due_us
-      = work->item.arrived_us + work->header.goal_ms * JL_USEC_PER_MSEC;
-  jl_load_shedder_count_arrival (&proxy->pressure);
+      = work->item.arrived_us + work->header.latency_goal_ms * JL_USEC_PER_MSEC;
+  jl_load_shedder_count_arrival (&proxy->load_shedder);
   if (jl_lane_is_too_long (&proxy->lane, &work->item,
-                           (uint64_t)proxy->pressure.hold_us))
+                           (uint64_t)proxy->load_shedder.hold_us))
     {
       refuse_work (work, "queue-long");
       return;
     }
-  jl_fanout_count_run (&proxy->fanout, work->header.route);
+  jl_fanout_count_run (&proxy->fanout, work->header.route_key);
   if (jl_lane_submit (&proxy->lane, &work->item))
     start_work (work);
 }
@@ -483,16 +485,16 @@
          const char *data,
          size_t size)
 {
-  struct jl_work *work = work_of (jl_request_data (request));
+  struct jl_work *work = work_from_relay (jl_request_data (request));
 
   (void)context;
   if (work == NULL || work->relay.answer_started)
     return;
   if (work->relay.upstream == NULL)
     {
-      g_byte_array_append (work->relay.kept_body, (const guint8 *)data,
+      g_byte_array_append (work->relay.buffered_body, (const guint8 *)data,
                            (guint)size);
-      if (work->relay.kept_body->len > WAITING_BODY_BYTES_MAX)
+      if (work->relay.buffered_body->len > QUEUED_BODY_BYTES_MAX)
         jl_request_set_read_paused (request, true);
       return;
     }
@@ -501,10 +503,10 @@
 }
 
 static void
-on_gone (void *context, struct jl_request *request)
+on_disconnected (void *context, struct jl_request *request)
 {
   struct jl_proxy *proxy = context;
-  struct jl_work *work = work_of (jl_request_data (request));
+  struct jl_work *work = work_from_relay (jl_request_data (request));
 
   if (work == NULL)
     return;
@@ -519,5 +521,5 @@
   .body = on_body,
   .end = jl_relay_on_end,
   .drained = jl_relay_on_client_drained,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
 };
--- a/source/proxy/headers.c
+++ b/source/proxy/headers.c
@@ -70,15 +70,16 @@
       append_field (text, head, i);
   g_string_append_printf (text, "%s: %s\r\n", JL_HEADER_CALLER_SERVICE, caller);
   g_string_append_printf (text, "%s: %s %u %u %u %08x %d\r\n", JL_WORK_FIELD,
-                          work->service, work->rank, work->left_ms,
-                          work->goal_ms, work->route, work->repeatable);
+                          work->service, work->rank, work->remaining_ms,
+                          work->latency_goal_ms, work->route_key,
+                          work->idempotent);
   append_framing (text, head);
   return text;
 }
 
 GString *
 jl_headers_to_target (const struct jl_head *head,
-                      unsigned left_ms,
+                      unsigned remaining_ms,
                       const char *target)
 {
   GString *text = g_string_sized_new (512);
@@ -89,7 +90,7 @@
         && !jl_head_is_hop_by_hop (head, i))
       append_field (text, head, i);
   g_string_append_printf (text, "%s: %u\r\n%s: %s\r\n", JL_HEADER_DEADLINE_MS,
-                          left_ms, JL_HEADER_TARGET_INSTANCE, target);
+                          remaining_ms, JL_HEADER_TARGET_INSTANCE, target);
   append_framing (text, head);
   return text;
 }
@@ -98,14 +99,15 @@
 jl_headers_read_work (const struct jl_head *head, struct jl_work_header *work)
 {
   const char *value = jl_head_get (head, JL_WORK_FIELD);
-  int repeatable;
+  int idempotent;
 
   if (value == NULL
       || sscanf (value, "%207s %u %u %u %8x %d", work->service, &work->rank,
-                 &work->left_ms, &work->goal_ms, &work->route, &repeatable)
+                 &work->remaining_ms, &work->latency_goal_ms, &work->route_key,
+                 &idempotent)
              != 6)
     return false;
-  work->repeatable = repeatable != 0;
+  work->idempotent = idempotent != 0;
   return true;
 }
 
--- a/source/proxy/pages.c
+++ b/source/proxy/pages.c
@@ -34,7 +34,7 @@
 
   if (strcmp (target, JL_PATH_READY) != 0)
     answer_text (request, 404, "not found\n");
-  else if (jl_proxy_ready (proxy))
+  else if (jl_proxy_is_ready (proxy))
     answer_text (request, 200, "ready\n");
   else
     answer_text (request, 503, "not ready\n");
@@ -71,7 +71,7 @@
     answer_json (g_ptr_array_index (proxy->leave_requests, i), 200);
   jl_record (JL_RECORD_CHANGE, JL_RECORD_LEAVING_ACKNOWLEDGED,
              "target=%s written=%d heartbeats=%u", proxy->target.last.id,
-             proxy->left_written, proxy->leave_requests->len);
+             proxy->departed_row_acknowledged, proxy->leave_requests->len);
   g_ptr_array_set_size (proxy->leave_requests, 0);
 }
 
@@ -94,8 +94,8 @@
 static void
 answer_leave (struct jl_proxy *proxy, struct jl_request *request)
 {
-  jl_rows_write_left (proxy);
-  if (proxy->left_written)
+  jl_rows_write_departed (proxy);
+  if (proxy->departed_row_acknowledged)
     {
       answer_json (request, 200);
       return;
@@ -111,8 +111,8 @@
               struct jl_request *request,
               const char *id)
 {
-  if (jl_target_mark_left (&proxy->target, id,
-                           (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
+  if (jl_target_mark_departed (&proxy->target, id,
+                               (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
     jl_proxy_target_changed (proxy, "left");
   answer_leave (proxy, request);
 }
@@ -187,7 +187,7 @@
 }
 
 static void
-on_announce_gone (void *context, struct jl_request *request)
+on_announce_disconnected (void *context, struct jl_request *request)
 {
   struct jl_proxy *proxy = context;
   GByteArray *body = jl_request_data (request);
@@ -201,7 +201,7 @@
   .begin = on_announce_begin,
   .body = on_announce_body,
   .end = on_announce_end,
-  .disconnected = on_announce_gone,
+  .disconnected = on_announce_disconnected,
 };
 
 static void
@@ -276,8 +276,8 @@
       "shed=%.3f room=%.3f hold_ms=%.1f stopping=%d\n",
       proxy->site != NULL ? proxy->site->version : 0, proxy->target.last.id,
       jl_target_state_name (proxy->target.state), proxy->lane.running,
-      proxy->lane.waiting, proxy->lane.limit, proxy->pressure.shed,
-      proxy->pressure.spare_share, proxy->pressure.hold_us / 1000,
+      proxy->lane.waiting, proxy->lane.limit, proxy->load_shedder.shed_share,
+      proxy->load_shedder.spare_share, proxy->load_shedder.hold_us / 1000,
       proxy->stopping);
   for (guint i = 0; i < proxy->roster.members->len; i++)
     {
@@ -290,7 +290,7 @@
           "outstanding=%u\n",
           member->name, member->zone, member->service,
           jl_target_state_name (member->state),
-          jl_member_is_alive (member, now_us), member->shed,
+          jl_member_is_alive (member, now_us), member->shed_share,
           member->outstanding);
     }
 }
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -28,7 +28,7 @@
 /**
  * struct supply - announced state of some targets of a service
  * @capacity: sum of their capacities; the limit where that is not known
- * @shed: mean share of the demand to refuse, weighted by capacity
+ * @shed_share: mean share of the demand to refuse, weighted by capacity
  * @spare_share: mean spare share, weighted by capacity
  * @failure_rate: mean failure rate, weighted by capacity
  * @targets: number of targets that accept work
@@ -36,7 +36,7 @@
 struct supply
 {
   double capacity;
-  double shed;
+  double shed_share;
   double spare_share;
   double failure_rate;
   unsigned targets;
@@ -64,13 +64,13 @@
         weight = member->capacity;
       supply.targets++;
       supply.capacity += weight;
-      supply.shed += weight * member->shed;
+      supply.shed_share += weight * member->shed_share;
       supply.spare_share += weight * member->spare_share;
       supply.failure_rate += weight * member->failure_rate;
     }
   if (supply.targets == 0)
     return supply;
-  supply.shed /= supply.capacity;
+  supply.shed_share /= supply.capacity;
   supply.spare_share /= supply.capacity;
   supply.failure_rate /= supply.capacity;
   return supply;
@@ -99,7 +99,7 @@
     return a->rank < b->rank;
   if (a_runs != b_runs)
     return a_runs < b_runs;
-  return a->route < b->route;
+  return a->route_key < b->route_key;
 }
 
 /*
@@ -194,14 +194,14 @@
       if (supply->targets == 0
           && demand->tree.nodes[i].runs >= RUNS_REQUIRED_MIN)
         admit_share = 0;
-      else if (supply->shed > 0)
+      else if (supply->shed_share > 0)
         admit_share = admitted_share (demands, demand_count, demand, service,
-                                      supply->shed);
+                                      supply->shed_share);
       if (admit_share >= plan->admit_share)
         continue;
       plan->admit_share = admit_share;
       plan->limiting_service = service;
-      plan->shed = supply->shed;
+      plan->shed_share = supply->shed_share;
     }
 }
 
@@ -247,7 +247,7 @@
       struct supply supply
           = zone_supply (roster, demand->tree.nodes[i].service, zone, now_us);
 
-      if (supply.targets == 0 || supply.shed > 0)
+      if (supply.targets == 0 || supply.shed_share > 0)
         return 0;
       accepted = MIN (accepted, supply.spare_share / SPARE_SHARE_FULL);
     }
@@ -431,9 +431,11 @@
 
   if (other->targets == 0)
     return 0;
-  if (other->shed <= 0)
-    return MIN (1, OVERFLOW_GAIN * own->shed) * accepted;
-  return own->shed - other->shed < DIFFERENCE_MIN ? 0 : own->shed - other->shed;
+  if (other->shed_share <= 0)
+    return MIN (1, OVERFLOW_GAIN * own->shed_share) * accepted;
+  return own->shed_share - other->shed_share < DIFFERENCE_MIN
+             ? 0
+             : own->shed_share - other->shed_share;
 }
 
 struct jl_overflow
@@ -446,7 +448,7 @@
   const char *zone;
   guint index = 0;
 
-  while (own.shed > 0
+  while (own.shed_share > 0
          && (zone = next_zone (roster, roster->own_zone, &index)) != NULL)
     {
       struct supply other = zone_supply (roster, service, zone, now_us);
--- a/source/proxy/plan.h
+++ b/source/proxy/plan.h
@@ -24,7 +24,7 @@
  * @zone: zone of the admitted requests
  * @admit_share: share of the requests that is admitted there
  * @limiting_service: service whose overload limits @admit_share, "" for none
- * @shed: share of its demand that @limiting_service has to refuse
+ * @shed_share: share of its demand that @limiting_service has to refuse
  * @other_zone: zone that has capacity left or refuses less, NULL for none
  * @other_zone_share: share of the requests not admitted in @zone that goes to
  *                    @other_zone
@@ -34,14 +34,14 @@
   const char *zone;
   double admit_share;
   const char *limiting_service;
-  double shed;
+  double shed_share;
   const char *other_zone;
   double other_zone_share;
 };
 
 /**
  * struct jl_demand - requests of this daemon's clients by one route
- * @route: the route's key
+ * @route_key: the route's key
  * @rank: its priority, 0 is the most important
  * @window_requests: requests in this window
  * @rate: requests a second, exponential moving average
@@ -50,7 +50,7 @@
  */
 struct jl_demand
 {
-  uint32_t route;
+  uint32_t route_key;
   unsigned rank;
   unsigned window_requests;
   double rate;
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Start, control windows, planned stop and reload of the proxy.
+ * DOC: Start, control windows, graceful shutdown and reload of the proxy.
  */
 
 #include "proxy/proxy.h"
@@ -32,17 +32,17 @@
 #define SWEEP_PERIOD_US (500 * JL_USEC_PER_MSEC)
 /* Period of checks for changed settings. */
 #define RELOAD_PERIOD_US (2 * JL_USEC_PER_SEC)
-/* Minimum time for which requests are served after the start of a planned stop,
- * as clients learn of it only after a delay. */
+/* Minimum time for which requests are served after the start of a graceful
+ * shutdown, as clients learn of it only after a delay. */
 #define STOP_MIN_US (2500 * JL_USEC_PER_MSEC)
 /* Time for which the own target still receives work after the start of a
- * planned stop. It is shorter than STOP_MIN_US, so that this work completes
- * within STOP_MIN_US. */
+ * graceful shutdown. It is shorter than STOP_MIN_US, so that this work
+ * completes within STOP_MIN_US. */
 #define GUARD_OPEN_US (1700 * JL_USEC_PER_MSEC)
 /* Time before the end of the grace period at which the process exits although
  * requests are in progress. */
 #define STOP_MARGIN_US (400 * JL_USEC_PER_MSEC)
-/* Period of checks whether a planned stop is complete. */
+/* Period of checks whether a graceful shutdown is complete. */
 #define STOP_CHECK_PERIOD_US (50 * JL_USEC_PER_MSEC)
 /* Time after the start at which a daemon becomes ready even if it receives no
  * beacons of other daemons. */
@@ -74,7 +74,7 @@
 }
 
 bool
-jl_proxy_ready (const struct jl_proxy *proxy)
+jl_proxy_is_ready (const struct jl_proxy *proxy)
 {
   uint64_t now_us = jl_now ();
 
@@ -113,10 +113,10 @@
     self->state = JL_TARGET_LEAVING;
   self->limit = proxy->lane.limit;
   self->capacity
-      = jl_load_shedder_capacity (&proxy->pressure, proxy->lane.limit);
-  self->shed = proxy->pressure.shed;
-  self->spare_share = proxy->pressure.spare_share;
-  self->failure_rate = jl_failure_rate_get (&proxy->failing);
+      = jl_load_shedder_capacity (&proxy->load_shedder, proxy->lane.limit);
+  self->shed_share = proxy->load_shedder.shed_share;
+  self->spare_share = proxy->load_shedder.spare_share;
+  self->failure_rate = jl_failure_rate_get (&proxy->failure_rate);
   self->last_beacon_us = jl_now ();
 }
 
@@ -196,30 +196,31 @@
 static void
 log_shed (struct jl_proxy *proxy, double before)
 {
-  const struct jl_load_shedder *pressure = &proxy->pressure;
+  const struct jl_load_shedder *shedder = &proxy->load_shedder;
 
-  if ((before > 0) == (pressure->shed > 0) && proxy->window_count % 10 != 0)
+  if ((before > 0) == (shedder->shed_share > 0)
+      && proxy->window_count % 10 != 0)
     return;
-  if (before <= 0 && pressure->shed <= 0)
+  if (before <= 0 && shedder->shed_share <= 0)
     return;
   jl_record (JL_RECORD_CHANGE, JL_RECORD_SHED_SHARE,
              "shed=%.3f before=%.3f rate=%.0f capacity=%.0f running=%u "
              "waiting=%u limit=%u hold_ms=%.1f",
-             pressure->shed, before, pressure->rate,
-             jl_load_shedder_capacity (pressure, proxy->lane.limit),
+             shedder->shed_share, before, shedder->arrival_rate,
+             jl_load_shedder_capacity (shedder, proxy->lane.limit),
              proxy->lane.running, proxy->lane.waiting, proxy->lane.limit,
-             pressure->hold_us / 1000);
+             shedder->hold_us / 1000);
 }
 
 static void
 on_control_timer (void *context, struct jl_timer *timer)
 {
   struct jl_proxy *proxy = context;
-  double before = proxy->pressure.shed;
+  double before = proxy->load_shedder.shed_share;
 
   proxy->window_count++;
-  jl_failure_rate_decay (&proxy->failing);
-  jl_load_shedder_end_window (&proxy->pressure, proxy->lane.limit,
+  jl_failure_rate_decay (&proxy->failure_rate);
+  jl_load_shedder_end_window (&proxy->load_shedder, proxy->lane.limit,
                               proxy->lane.waiting);
   if (proxy->window_count % FANOUT_PERIOD_WINDOWS == 0)
     {
@@ -338,8 +339,8 @@
                        proxy);
 }
 
-/* Begins a planned stop. The entry closes each connection after its answer, so
- * that clients reconnect to other daemons. */
+/* Begins a graceful shutdown. The entry closes each connection after its
+ * answer, so that clients reconnect to other daemons. */
 static void
 begin_stop (struct jl_proxy *proxy)
 {
@@ -435,10 +436,10 @@
   CDS_INIT_LIST_HEAD (&proxy->calls);
   CDS_INIT_LIST_HEAD (&proxy->work_items);
   jl_lane_init (&proxy->lane);
-  jl_load_shedder_init (&proxy->pressure);
+  jl_load_shedder_init (&proxy->load_shedder);
   jl_fanout_init (&proxy->fanout);
   jl_roster_init (&proxy->roster, options->zone);
-  proxy->self = jl_roster_member (&proxy->roster, options->name);
+  proxy->self = jl_roster_get_or_add (&proxy->roster, options->name);
   proxy->self->peer = options->advertise;
   g_strlcpy (proxy->self->zone, options->zone, JL_TEXT_SIZE);
   proxy->loop = jl_loop_new ();
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -120,17 +120,17 @@
  * @work_items: requests in progress at the guard, of struct jl_work
  * @leave_requests: leave announcements of the target, answered once the store
  *                  has acknowledged the row that records them
- * @left_edition_sent: value of the target's left_edition that was last handed
- *                     to the store client
- * @left_written: the store has acknowledged the latest row
+ * @departed_revision_sent: value of the target's departed_revision that was
+ * last handed to the store client
+ * @departed_row_acknowledged: the store has acknowledged the latest row
  * @window_count: number of control windows since the start
  * @epoch: wall clock at the start in microseconds; distinguishes incarnations
  *         of this daemon
  * @started_us: monotonic clock at the start
- * @stop_since_us: monotonic time at which the planned stop began
- * @stopping: a planned stop has begun
- * @guard_closed: the planned stop has progressed so far that the own target
- *                receives no further work
+ * @stop_since_us: monotonic time at which the graceful shutdown began
+ * @stopping: a graceful shutdown has begun
+ * @guard_closed: the graceful shutdown has progressed so far that the own
+ * target receives no further work
  */
 struct jl_proxy
 {
@@ -149,8 +149,8 @@
   struct jl_member *self;
   struct jl_target target;
   struct jl_lane lane;
-  struct jl_load_shedder pressure;
-  struct jl_failure_rate failing;
+  struct jl_load_shedder load_shedder;
+  struct jl_failure_rate failure_rate;
   struct jl_fanout fanout;
   unsigned demand_count;
   struct jl_demand demands[JL_DEMAND_ROUTES_MAX];
@@ -175,8 +175,8 @@
   struct jl_timer reload_timer;
   struct jl_timer leave_timer;
   GPtrArray *leave_requests;
-  unsigned left_edition_sent;
-  bool left_written;
+  unsigned departed_revision_sent;
+  bool departed_row_acknowledged;
   struct jl_sync *sync;
   uv_signal_t signals[3];
   unsigned window_count;
@@ -200,7 +200,7 @@
 struct jl_proxy *jl_proxy_new (struct jl_options *options, const char *path);
 
 /**
- * jl_proxy_run - serves until a planned stop has completed
+ * jl_proxy_run - serves until a graceful shutdown has completed
  *
  * Return: the exit status of the process.
  */
@@ -230,13 +230,13 @@
 const char *jl_proxy_service (const struct jl_proxy *proxy);
 
 /**
- * jl_proxy_ready - whether clients should send requests to this daemon
+ * jl_proxy_is_ready - whether clients should send requests to this daemon
  */
-bool jl_proxy_ready (const struct jl_proxy *proxy);
+bool jl_proxy_is_ready (const struct jl_proxy *proxy);
 
 /**
- * jl_proxy_is_ending - whether a planned stop may terminate the process before
- * a request accepted now has completed
+ * jl_proxy_is_ending - whether a graceful shutdown may terminate the process
+ * before a request accepted now has completed
  */
 bool jl_proxy_is_ending (const struct jl_proxy *proxy);
 
@@ -321,19 +321,19 @@
  * struct jl_work_header - header field that an entry sends to a guard
  * @service: service that the request is for
  * @rank: importance, 0 is the highest
- * @left_ms: time left until the deadline
- * @goal_ms: target latency of the route
- * @route: key of the route
- * @repeatable: whether the request is idempotent
+ * @remaining_ms: time left until the deadline
+ * @latency_goal_ms: target latency of the route
+ * @route_key: key of the route
+ * @idempotent: whether the request is idempotent
  */
 struct jl_work_header
 {
   char service[JL_TEXT_SIZE];
   unsigned rank;
-  unsigned left_ms;
-  unsigned goal_ms;
-  uint32_t route;
-  bool repeatable;
+  unsigned remaining_ms;
+  unsigned latency_goal_ms;
+  uint32_t route_key;
+  bool idempotent;
 };
 
 /* Header field that carries a struct jl_work_header. */
@@ -356,11 +356,11 @@
 /**
  * jl_headers_to_target - builds the head of a request that a guard forwards to
  * its target
- * @left_ms: time left until the deadline
+ * @remaining_ms: time left until the deadline
  * @target: identifier of the target's incarnation
  */
 GString *jl_headers_to_target (const struct jl_head *head,
-                               unsigned left_ms,
+                               unsigned remaining_ms,
                                const char *target);
 
 /**
--- a/source/proxy/relay.c
+++ b/source/proxy/relay.c
@@ -10,7 +10,7 @@
 jl_relay_init (struct jl_relay *relay, struct jl_request *request)
 {
   relay->request = request;
-  relay->kept_body = g_byte_array_new ();
+  relay->buffered_body = g_byte_array_new ();
   relay->chunked = jl_request_head (request)->chunked;
   jl_request_set_data (request, relay);
 }
@@ -19,7 +19,7 @@
 jl_relay_clear (struct jl_relay *relay)
 {
   jl_relay_cancel_upstream (relay);
-  g_byte_array_free (relay->kept_body, TRUE);
+  g_byte_array_free (relay->buffered_body, TRUE);
 }
 
 void
@@ -34,16 +34,16 @@
 jl_relay_start_answer (struct jl_relay *relay)
 {
   const struct jl_head *head = jl_upstream_head (relay->upstream);
-  const GByteArray *taken = jl_upstream_buffered_body (relay->upstream);
+  const GByteArray *body = jl_upstream_buffered_body (relay->upstream);
   GString *fields = jl_headers_to_client (head);
   bool complete = jl_upstream_is_complete (relay->upstream);
 
   relay->answer_started = true;
   jl_request_start_response (relay->request, head->status, fields->str,
                              head->has_length || complete,
-                             head->has_length ? head->length : taken->len);
+                             head->has_length ? head->length : body->len);
   g_string_free (fields, TRUE);
-  jl_request_write_body (relay->request, (const char *)taken->data, taken->len);
+  jl_request_write_body (relay->request, (const char *)body->data, body->len);
   return complete;
 }
 
@@ -56,19 +56,20 @@
 }
 
 void
-jl_relay_send_kept_body (struct jl_relay *relay)
+jl_relay_send_buffered_body (struct jl_relay *relay)
 {
-  jl_upstream_write_body (relay->upstream, (const char *)relay->kept_body->data,
-                          relay->kept_body->len, relay->chunked);
+  jl_upstream_write_body (relay->upstream,
+                          (const char *)relay->buffered_body->data,
+                          relay->buffered_body->len, relay->chunked);
   if (jl_request_is_complete (relay->request))
     jl_upstream_end_body (relay->upstream, relay->chunked);
 }
 
 void
-jl_relay_on_piece (void *context,
-                   struct jl_upstream *upstream,
-                   const char *data,
-                   size_t size)
+jl_relay_on_response_body (void *context,
+                           struct jl_upstream *upstream,
+                           const char *data,
+                           size_t size)
 {
   struct jl_relay *relay = context;
 
--- a/source/proxy/relay.h
+++ b/source/proxy/relay.h
@@ -16,7 +16,7 @@
  * struct jl_relay - a request and its upstream request
  * @request: request received from the client or the entry
  * @upstream: current upstream request, NULL while there is none
- * @kept_body: buffered part of the request's body
+ * @buffered_body: buffered part of the request's body
  * @chunked: the request's body uses chunked transfer encoding
  * @answer_started: the head of the answer has been passed on
  */
@@ -24,7 +24,7 @@
 {
   struct jl_request *request;
   struct jl_upstream *upstream;
-  GByteArray *kept_body;
+  GByteArray *buffered_body;
   bool chunked;
   bool answer_started;
 };
@@ -60,17 +60,17 @@
 void jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size);
 
 /**
- * jl_relay_send_kept_body - sends the buffered body upstream, and ends it if
- * the whole request was read
+ * jl_relay_send_buffered_body - sends the buffered body upstream, and ends it
+ * if the whole request was read
  */
-void jl_relay_send_kept_body (struct jl_relay *relay);
+void jl_relay_send_buffered_body (struct jl_relay *relay);
 
 /* Members of struct jl_upstream_ops that entry and guard share. */
 
-void jl_relay_on_piece (void *context,
-                        struct jl_upstream *upstream,
-                        const char *data,
-                        size_t size);
+void jl_relay_on_response_body (void *context,
+                                struct jl_upstream *upstream,
+                                const char *data,
+                                size_t size);
 void jl_relay_on_drained (void *context, struct jl_upstream *upstream);
 
 /* Members of struct jl_handler that entry and guard share. */
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -36,7 +36,7 @@
 }
 
 struct jl_member *
-jl_roster_member (struct jl_roster *roster, const char *name)
+jl_roster_get_or_add (struct jl_roster *roster, const char *name)
 {
   struct jl_member *member = g_hash_table_lookup (roster->by_name, name);
 
@@ -106,7 +106,7 @@
           || !jl_member_is_alive (member, now_us))
         continue;
       for (unsigned j = 0; j < member->arrivals.count; j++)
-        jl_arrivals_add (&sum, member->arrivals.list[j].route,
+        jl_arrivals_add (&sum, member->arrivals.list[j].route_key,
                          member->arrivals.list[j].count);
     }
   return sum;
@@ -129,7 +129,7 @@
 
 bool
 jl_roster_is_call_route (const struct jl_roster *roster,
-                         uint32_t route,
+                         uint32_t route_key,
                          uint64_t now_us)
 {
   for (guint i = 0; i < roster->members->len; i++)
@@ -140,7 +140,7 @@
       if (!is_first_of_service (roster, i))
         continue;
       arrivals = service_arrivals (roster, member->service, now_us);
-      if (jl_arrivals_is_route_absent (&arrivals, route))
+      if (jl_arrivals_is_route_absent (&arrivals, route_key))
         return true;
     }
   return false;
--- a/source/proxy/roster.h
+++ b/source/proxy/roster.h
@@ -29,7 +29,7 @@
  * @state: state of its target
  * @limit: requests that run at its target at once
  * @capacity: requests a second that its target can complete, 0 while not known
- * @shed: share of the demand that entries should refuse
+ * @shed_share: share of the demand that entries should refuse
  * @spare_share: share of its capacity that is free for other zones
  * @failure_rate: share of its requests that its target itself fails
  * @site_version: version of the configuration that it uses
@@ -53,7 +53,7 @@
   enum jl_target_state state;
   unsigned limit;
   double capacity;
-  double shed;
+  double shed_share;
   double spare_share;
   double failure_rate;
   uint64_t site_version;
@@ -83,10 +83,11 @@
 void jl_roster_clear (struct jl_roster *roster);
 
 /**
- * jl_roster_member - returns the daemon called @name, which it adds if it is
- * new
+ * jl_roster_get_or_add - returns the daemon called @name, which it adds if it
+ * is new
  */
-struct jl_member *jl_roster_member (struct jl_roster *roster, const char *name);
+struct jl_member *jl_roster_get_or_add (struct jl_roster *roster,
+                                        const char *name);
 
 /**
  * jl_member_is_alive - whether a beacon came recently enough
@@ -121,10 +122,10 @@
 
 /**
  * jl_roster_is_call_route - whether requests of a route are calls of targets
- * @route: the route's key
+ * @route_key: the route's key
  */
 bool jl_roster_is_call_route (const struct jl_roster *roster,
-                              uint32_t route,
+                              uint32_t route_key,
                               uint64_t now_us);
 
 /**
--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -58,7 +58,8 @@
   if (peer != NULL && zone != NULL
       && jl_endpoint_parse (json_object_get_string (peer), &endpoint))
     {
-      struct jl_member *member = jl_roster_member (&proxy->roster, row->key);
+      struct jl_member *member
+          = jl_roster_get_or_add (&proxy->roster, row->key);
 
       if (member != proxy->self && member->last_beacon_us == 0)
         {
@@ -71,15 +72,15 @@
 }
 
 static void
-restore_left (struct jl_proxy *proxy, struct json_object *left)
+restore_departed (struct jl_proxy *proxy, struct json_object *departed)
 {
-  struct json_object *id = json_object_object_get (left, "target");
-  struct json_object *born = json_object_object_get (left, "born_ms");
+  struct json_object *id = json_object_object_get (departed, "target");
+  struct json_object *born = json_object_object_get (departed, "born_ms");
 
   if (id == NULL || born == NULL || JL_TEST_DISABLED ("left"))
     return;
-  if (jl_target_restore_left (&proxy->target, json_object_get_string (id),
-                              (uint64_t)json_object_get_int64 (born)))
+  if (jl_target_restore_departed (&proxy->target, json_object_get_string (id),
+                                  (uint64_t)json_object_get_int64 (born)))
     jl_proxy_target_changed (proxy, "left-before");
 }
 
@@ -97,16 +98,16 @@
 
   for (size_t i = 0; i < count; i++)
     {
-      struct json_object *left = json_object_array_get_idx (list, i);
+      struct json_object *departed = json_object_array_get_idx (list, i);
 
-      if (json_object_is_type (left, json_type_object))
-        restore_left (proxy, left);
+      if (json_object_is_type (departed, json_type_object))
+        restore_departed (proxy, departed);
     }
   json_object_put (document);
-  if (proxy->left_written)
-    proxy->left_edition_sent = proxy->target.left_edition;
+  if (proxy->departed_row_acknowledged)
+    proxy->departed_revision_sent = proxy->target.departed_revision;
   else
-    jl_rows_write_left (proxy);
+    jl_rows_write_departed (proxy);
 }
 
 static void
@@ -144,7 +145,7 @@
 
   if (strcmp (table, TARGET_TABLE) != 0)
     return;
-  proxy->left_written = true;
+  proxy->departed_row_acknowledged = true;
   jl_pages_acknowledge_leave (proxy);
 }
 
@@ -168,38 +169,38 @@
 }
 
 static struct json_object *
-left_list (const struct jl_target *target)
+departed_list (const struct jl_target *target)
 {
   struct json_object *list = json_object_new_array ();
 
-  for (size_t i = 0; i < G_N_ELEMENTS (target->left); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (target->departed); i++)
     {
-      struct json_object *left;
+      struct json_object *departed;
 
-      if (target->left[i].id[0] == '\0')
+      if (target->departed[i].id[0] == '\0')
         continue;
-      left = json_object_new_object ();
-      json_object_object_add (left, "target",
-                              json_object_new_string (target->left[i].id));
+      departed = json_object_new_object ();
+      json_object_object_add (departed, "target",
+                              json_object_new_string (target->departed[i].id));
       json_object_object_add (
-          left, "born_ms",
-          json_object_new_int64 ((int64_t)target->left[i].started_ms));
-      json_object_array_add (list, left);
+          departed, "born_ms",
+          json_object_new_int64 ((int64_t)target->departed[i].started_ms));
+      json_object_array_add (list, departed);
     }
   return list;
 }
 
 void
-jl_rows_write_left (struct jl_proxy *proxy)
+jl_rows_write_departed (struct jl_proxy *proxy)
 {
   struct json_object *document;
 
-  if (proxy->left_edition_sent == proxy->target.left_edition)
+  if (proxy->departed_revision_sent == proxy->target.departed_revision)
     return;
-  proxy->left_edition_sent = proxy->target.left_edition;
-  proxy->left_written = false;
+  proxy->departed_revision_sent = proxy->target.departed_revision;
+  proxy->departed_row_acknowledged = false;
   document = json_object_new_object ();
-  json_object_object_add (document, "left", left_list (&proxy->target));
+  json_object_object_add (document, "left", departed_list (&proxy->target));
   jl_store_write (proxy->store, TARGET_TABLE, proxy->options->name,
                   json_object_to_json_string (document));
   json_object_put (document);
@@ -239,7 +240,7 @@
 void
 jl_rows_open (struct jl_proxy *proxy)
 {
-  proxy->left_written = true;
+  proxy->departed_row_acknowledged = true;
   proxy->store = jl_store_new (proxy->loop, proxy->net, proxy->options->store,
                                &store_ops, proxy);
   jl_store_read_row (proxy->store, TARGET_TABLE, proxy->options->name);
--- a/source/proxy/rows.h
+++ b/source/proxy/rows.h
@@ -16,10 +16,10 @@
 void jl_rows_open (struct jl_proxy *proxy);
 
 /**
- * jl_rows_write_left - writes the incarnations of the own target that have
+ * jl_rows_write_departed - writes the incarnations of the own target that have
  * left, if the list has changed, so that this daemon knows them after a restart
  */
-void jl_rows_write_left (struct jl_proxy *proxy);
+void jl_rows_write_departed (struct jl_proxy *proxy);
 
 /**
  * jl_rows_update_polling - sets how this daemon polls the configuration;
--- a/source/proxy/sync.c
+++ b/source/proxy/sync.c
@@ -38,13 +38,13 @@
 }
 
 static void
-on_answer (void *context, struct jl_upstream *upstream)
+on_response (void *context, struct jl_upstream *upstream)
 {
   struct jl_sync *sync = context;
-  const GByteArray *taken = jl_upstream_buffered_body (upstream);
+  const GByteArray *body = jl_upstream_buffered_body (upstream);
 
   if (jl_upstream_head (upstream)->status == 200)
-    jl_proxy_install (sync->proxy, (const char *)taken->data, taken->len,
+    jl_proxy_install (sync->proxy, (const char *)body->data, body->len,
                       sync->member->name);
   end_sync (sync);
 }
@@ -60,7 +60,7 @@
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .response = on_answer,
+  .response = on_response,
   .failed = on_failed,
 };
 
--- a/source/proxy/target.c
+++ b/source/proxy/target.c
@@ -9,11 +9,13 @@
 /* Whether an incarnation has left. A heartbeat without a start time matches any
  * incarnation of @id that has left. */
 static bool
-has_left (const struct jl_target *target, const char *id, uint64_t started_ms)
+has_departed (const struct jl_target *target,
+              const char *id,
+              uint64_t started_ms)
 {
-  for (size_t i = 0; i < JL_TARGET_LEFT_MAX; i++)
-    if (strcmp (target->left[i].id, id) == 0
-        && target->left[i].started_ms >= started_ms)
+  for (size_t i = 0; i < JL_TARGET_DEPARTED_MAX; i++)
+    if (strcmp (target->departed[i].id, id) == 0
+        && target->departed[i].started_ms >= started_ms)
       return true;
   return false;
 }
@@ -31,7 +33,7 @@
 {
   const struct jl_heartbeat *last = &target->last;
 
-  if (has_left (target, heartbeat->id, heartbeat->started_ms))
+  if (has_departed (target, heartbeat->id, heartbeat->started_ms))
     return true;
   if (target->state == JL_TARGET_NONE)
     return false;
@@ -42,16 +44,17 @@
 
 /* Adds an incarnation to the ring of those that have left, once. */
 static void
-remember_left (struct jl_target *target, const char *id, uint64_t started_ms)
+add_departed (struct jl_target *target, const char *id, uint64_t started_ms)
 {
-  struct jl_target_left *left = &target->left[target->left_next];
+  struct jl_departed_incarnation *departed
+      = &target->departed[target->departed_next];
 
-  if (has_left (target, id, started_ms))
+  if (has_departed (target, id, started_ms))
     return;
-  g_strlcpy (left->id, id, sizeof left->id);
-  left->started_ms = started_ms;
-  target->left_next = (target->left_next + 1) % JL_TARGET_LEFT_MAX;
-  target->left_edition++;
+  g_strlcpy (departed->id, id, sizeof departed->id);
+  departed->started_ms = started_ms;
+  target->departed_next = (target->departed_next + 1) % JL_TARGET_DEPARTED_MAX;
+  target->departed_revision++;
 }
 
 bool
@@ -68,7 +71,7 @@
   new_incarnation = before == JL_TARGET_NONE
                     || !is_same_incarnation (&target->last, heartbeat);
   if (new_incarnation && before != JL_TARGET_NONE)
-    remember_left (target, target->last.id, target->last.started_ms);
+    add_departed (target, target->last.id, target->last.started_ms);
   changed = new_incarnation || heartbeat->slots != target->last.slots;
   if (heartbeat->draining || (!new_incarnation && before == JL_TARGET_LEAVING))
     target->state = JL_TARGET_LEAVING;
@@ -78,34 +81,36 @@
       && (new_incarnation || before != JL_TARGET_UP))
     target->up_since_us = now_us;
   if (target->state == JL_TARGET_LEAVING)
-    remember_left (target, heartbeat->id, heartbeat->started_ms);
+    add_departed (target, heartbeat->id, heartbeat->started_ms);
   target->last = *heartbeat;
   target->last_heartbeat_us = now_us;
   return changed || target->state != before;
 }
 
 bool
-jl_target_mark_left (struct jl_target *target, const char *id, uint64_t now_ms)
+jl_target_mark_departed (struct jl_target *target,
+                         const char *id,
+                         uint64_t now_ms)
 {
   if (target->state == JL_TARGET_NONE || strcmp (target->last.id, id) != 0)
     {
       /* An incarnation without any heartbeat so far has started before now. */
-      remember_left (target, id, now_ms);
+      add_departed (target, id, now_ms);
       return false;
     }
-  remember_left (target, id, target->last.started_ms);
+  add_departed (target, id, target->last.started_ms);
   target->state = JL_TARGET_LEAVING;
   return true;
 }
 
 bool
-jl_target_restore_left (struct jl_target *target,
-                        const char *id,
-                        uint64_t started_ms)
+jl_target_restore_departed (struct jl_target *target,
+                            const char *id,
+                            uint64_t started_ms)
 {
   enum jl_target_state before = target->state;
 
-  remember_left (target, id, started_ms);
+  add_departed (target, id, started_ms);
   if (before != JL_TARGET_NONE && strcmp (target->last.id, id) == 0
       && target->last.started_ms <= started_ms)
     target->state = JL_TARGET_LEAVING;
--- a/source/proxy/target.h
+++ b/source/proxy/target.h
@@ -53,15 +53,15 @@
 };
 
 /* Incarnations that have left and are remembered. */
-#define JL_TARGET_LEFT_MAX 8
+#define JL_TARGET_DEPARTED_MAX 8
 
 /**
- * struct jl_target_left - an incarnation that has left
+ * struct jl_departed_incarnation - an incarnation that has left
  * @id: "" for none
  * @started_ms: wall clock at its start; heartbeats with this @id and a later
  *              start belong to a new incarnation
  */
-struct jl_target_left
+struct jl_departed_incarnation
 {
   char id[JL_TEXT_SIZE];
   uint64_t started_ms;
@@ -72,9 +72,9 @@
  * @last: the last heartbeat that was applied
  * @last_heartbeat_us: when that was
  * @up_since_us: time at which it last became JL_TARGET_UP
- * @left: ring of the incarnations that have left
- * @left_next: index in @left of the next entry to write
- * @left_edition: number of entries written to @left so far
+ * @departed: ring of the incarnations that have left
+ * @departed_next: index in @departed of the next entry to write
+ * @departed_revision: number of entries written to @departed so far
  */
 struct jl_target
 {
@@ -82,9 +82,9 @@
   struct jl_heartbeat last;
   uint64_t last_heartbeat_us;
   uint64_t up_since_us;
-  struct jl_target_left left[JL_TARGET_LEFT_MAX];
-  unsigned left_next;
-  unsigned left_edition;
+  struct jl_departed_incarnation departed[JL_TARGET_DEPARTED_MAX];
+  unsigned departed_next;
+  unsigned departed_revision;
 };
 
 /**
@@ -98,7 +98,7 @@
                                 uint64_t now_us);
 
 /**
- * jl_target_mark_left - records that the target with identifier @id leaves
+ * jl_target_mark_departed - records that the target with identifier @id leaves
  * @now_ms: wall clock
  *
  * The incarnation never takes work again, even if this daemon has just started
@@ -106,18 +106,19 @@
  *
  * Return: whether it was the current incarnation.
  */
-bool
-jl_target_mark_left (struct jl_target *target, const char *id, uint64_t now_ms);
+bool jl_target_mark_departed (struct jl_target *target,
+                              const char *id,
+                              uint64_t now_ms);
 
 /**
- * jl_target_restore_left - records an incarnation that left before this daemon
- * was restarted
+ * jl_target_restore_departed - records an incarnation that left before this
+ * daemon was restarted
  *
  * Return: whether that changes the state.
  */
-bool jl_target_restore_left (struct jl_target *target,
-                             const char *id,
-                             uint64_t started_ms);
+bool jl_target_restore_departed (struct jl_target *target,
+                                 const char *id,
+                                 uint64_t started_ms);
 
 /**
  * jl_target_mark_down - records that the target refuses connections
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -154,7 +154,7 @@
             const char *zone,
             const char *service)
 {
-  struct jl_member *member = jl_roster_member (&rig->proxy->roster, name);
+  struct jl_member *member = jl_roster_get_or_add (&rig->proxy->roster, name);
 
   g_strlcpy (member->zone, zone, sizeof member->zone);
   g_strlcpy (member->service, service, sizeof member->service);
@@ -247,7 +247,7 @@
   rig_prepare (&rig, 5);
   rig_start (&rig);
   heartbeat (&rig, "i-1", 5, 1);
-  rig.proxy->pressure.hold_us = 100.0 * JL_USEC_PER_MSEC;
+  rig.proxy->load_shedder.hold_us = 100.0 * JL_USEC_PER_MSEC;
   rig.proxy->lane.running = rig.proxy->lane.limit;
   rig.proxy->lane.waiting = 40;
   fd = send_request (&rig, PEER_PORT,
@@ -318,7 +318,7 @@
   install_call_route (&rig);
   open_peer (&rig, OTHER_PORT, &near_requests);
   open_peer (&rig, OTHER_PORT + 1, &far_requests);
-  add_member (&rig, "d6", "z1", "deep")->shed = 0.9;
+  add_member (&rig, "d6", "z1", "deep")->shed_share = 0.9;
   far = add_member (&rig, "d7", "z2", "deep");
   far->peer.port = OTHER_PORT + 1;
   send_request (&rig, ENTRY_PORT, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/tests/proxy/load.c
+++ b/tests/proxy/load.c
@@ -100,7 +100,7 @@
 static void
 announce_zone (struct zones *zones, const char *zone, const struct model *model)
 {
-  struct jl_member *member = jl_roster_member (&zones->roster, zone);
+  struct jl_member *member = jl_roster_get_or_add (&zones->roster, zone);
 
   g_strlcpy (member->zone, zone, sizeof member->zone);
   g_strlcpy (member->service, "deep", sizeof member->service);
@@ -108,7 +108,7 @@
   member->limit = model->lane.limit;
   member->capacity
       = jl_load_shedder_capacity (&model->shedder, model->lane.limit);
-  member->shed = model->shedder.shed;
+  member->shed_share = model->shedder.shed_share;
   member->spare_share = model->shedder.spare_share;
   member->last_beacon_us = JL_USEC_PER_SEC;
 }
@@ -205,7 +205,7 @@
 static struct jl_plan
 plan_zone (struct zones *zones, const char *zone, double rate)
 {
-  struct jl_demand demand = { .route = 1, .rate = rate };
+  struct jl_demand demand = { .route_key = 1, .rate = rate };
 
   demand.tree.count = 1;
   demand.tree.nodes[0] = (struct jl_call_node){ "deep", 1, JL_NONE };
--- a/tests/proxy/parts/fake-store.c
+++ b/tests/proxy/parts/fake-store.c
@@ -246,7 +246,7 @@
 }
 
 static void
-on_gone (void *context, struct jl_request *request)
+on_disconnected (void *context, struct jl_request *request)
 {
   struct fake_store *store = context;
 
@@ -258,7 +258,7 @@
   .begin = on_begin,
   .body = on_body,
   .end = on_end,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
 };
 
 void
--- a/tests/proxy/parts/model.c
+++ b/tests/proxy/parts/model.c
@@ -65,7 +65,7 @@
 model_offer (struct model *model)
 {
   model->offered++;
-  if (g_random_double () >= model->shedder.shed)
+  if (g_random_double () >= model->shedder.shed_share)
     return true;
   model->refused++;
   return false;
--- a/tests/proxy/place.c
+++ b/tests/proxy/place.c
@@ -16,7 +16,7 @@
             const char *zone,
             const char *service)
 {
-  struct jl_member *member = jl_roster_member (roster, name);
+  struct jl_member *member = jl_roster_get_or_add (roster, name);
 
   g_strlcpy (member->zone, zone, sizeof member->zone);
   g_strlcpy (member->service, service, sizeof member->service);
@@ -92,7 +92,7 @@
 static struct jl_demand
 demand (uint32_t route, unsigned rank, double rate, double runs)
 {
-  struct jl_demand result = { .route = route, .rank = rank, .rate = rate };
+  struct jl_demand result = { .route_key = route, .rank = rank, .rate = rate };
 
   result.tree.count = 1;
   result.tree.nodes[0].service = "deep";
@@ -110,7 +110,7 @@
       = { demand (1, 0, 10, 4), demand (2, 2, 10, 1), demand (3, 2, 10, 8) };
 
   jl_roster_init (&roster, "z1");
-  add_member (&roster, "a", "z1", "deep")->shed = 0.3;
+  add_member (&roster, "a", "z1", "deep")->shed_share = 0.3;
   cr_assert_eq (
       jl_plan_compute (&roster, demands, 3, &demands[0], NOW).admit_share, 1);
   cr_assert_eq (
@@ -128,12 +128,12 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add_member (&roster, "a", "z1", "deep")->shed = 0.3;
+  add_member (&roster, "a", "z1", "deep")->shed_share = 0.3;
   add_member (&roster, "b", "z2", "deep")->spare_share = 0.5;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.1), "z1");
   cr_assert_str_eq (jl_plan_choose_zone (&plan, 0.9), "z2");
-  jl_roster_member (&roster, "b")->spare_share = 0;
+  jl_roster_get_or_add (&roster, "b")->spare_share = 0;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_null (jl_plan_choose_zone (&plan, 0.9));
   jl_roster_clear (&roster);
@@ -166,7 +166,7 @@
   struct jl_plan plan;
 
   jl_roster_init (&roster, "z1");
-  add_member (&roster, "b", "z2", "deep")->shed = 0.4;
+  add_member (&roster, "b", "z2", "deep")->shed_share = 0.4;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_float_eq (plan.admit_share, 0.6, 1e-9);
   jl_roster_clear (&roster);
@@ -253,7 +253,7 @@
   tree->nodes[1] = (struct jl_call_node){ "deep", 8, 0 };
   add_member (&roster, "a", "z1", "deep");
   add_member (&roster, "b", "z2", "middle");
-  add_member (&roster, "c", "z2", "deep")->shed = 0.5;
+  add_member (&roster, "c", "z2", "deep")->shed_share = 0.5;
   plan = jl_plan_compute (&roster, demands, 1, &demands[0], NOW);
   cr_assert_float_eq (plan.admit_share, 0.5, 1e-9);
   cr_assert_str_eq (plan.zone, "z2",
--- a/tests/proxy/target.c
+++ b/tests/proxy/target.c
@@ -52,7 +52,7 @@
   struct jl_target target = { 0 };
 
   apply (&target, heartbeat ("a", 5, 1, false));
-  cr_assert (jl_target_mark_left (&target, "a", 8));
+  cr_assert (jl_target_mark_departed (&target, "a", 8));
   cr_assert_not (apply (&target, heartbeat ("a", 5, 9, false)));
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
@@ -85,7 +85,7 @@
 {
   struct jl_target target = { 0 };
 
-  cr_assert_not (jl_target_mark_left (&target, "a", 8));
+  cr_assert_not (jl_target_mark_departed (&target, "a", 8));
   cr_assert_not (apply (&target, heartbeat ("a", 0, 21, false)));
   cr_assert_not (apply (&target, heartbeat ("a", 5, 21, false)));
   cr_assert_eq (target.state, JL_TARGET_NONE);
@@ -98,7 +98,7 @@
   struct jl_target target = { 0 };
 
   apply (&target, heartbeat ("a", 5, 7, false));
-  jl_target_mark_left (&target, "a", 8);
+  jl_target_mark_departed (&target, "a", 8);
   cr_assert (apply (&target, heartbeat ("a", 9, 1, false)));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
@@ -119,7 +119,7 @@
   struct jl_target target = { 0 };
 
   apply (&target, heartbeat ("b", 9, 1, false));
-  cr_assert_not (jl_target_mark_left (&target, "a", 8));
+  cr_assert_not (jl_target_mark_departed (&target, "a", 8));
   cr_assert_eq (target.state, JL_TARGET_UP);
 }
 
@@ -133,17 +133,18 @@
 
   apply (&before, heartbeat ("a", 5, 1, false));
   apply (&before, heartbeat ("a", 5, 3, true));
-  cr_assert_eq (before.left_edition, 1);
+  cr_assert_eq (before.departed_revision, 1);
   apply (&before, heartbeat ("a", 5, 4, true));
-  cr_assert (jl_target_mark_left (&before, "a", 9));
-  cr_assert_eq (before.left_edition, 1, "the incarnation is recorded once");
-  cr_assert_not (jl_target_restore_left (&restored_first, before.left[0].id,
-                                         before.left[0].started_ms));
+  cr_assert (jl_target_mark_departed (&before, "a", 9));
+  cr_assert_eq (before.departed_revision, 1,
+                "the incarnation is recorded once");
+  cr_assert_not (jl_target_restore_departed (
+      &restored_first, before.departed[0].id, before.departed[0].started_ms));
   cr_assert_not (apply (&restored_first, heartbeat ("a", 5, 2, false)));
   cr_assert_eq (restored_first.state, JL_TARGET_NONE);
   apply (&heartbeat_first, heartbeat ("a", 5, 2, false));
-  cr_assert (jl_target_restore_left (&heartbeat_first, before.left[0].id,
-                                     before.left[0].started_ms));
+  cr_assert (jl_target_restore_departed (
+      &heartbeat_first, before.departed[0].id, before.departed[0].started_ms));
   cr_assert_eq (heartbeat_first.state, JL_TARGET_LEAVING);
   cr_assert (apply (&heartbeat_first, heartbeat ("a", 6, 1, false)),
              "a new incarnation");
