--- a/include/jackdawladder/upstream.h
+++ b/include/jackdawladder/upstream.h
@@ -56,7 +56,7 @@
 
 /**
  * jl_pool_new - creates a pool of idle connections
- * @idle_max_us: maximum idle time after which a connection is reused
+ * @idle_max_us: maximum idle time of a connection that is reused
  * @idle_conns_max: maximum number of idle connections per endpoint
  */
 struct jl_pool *
--- a/source/base/record.c
+++ b/source/base/record.c
@@ -51,8 +51,8 @@
 };
 
 static char buffer[BUFFER_BYTES_MAX];
-static size_t buffered;
-static uint64_t second;
+static size_t buffered_bytes;
+static uint64_t current_second;
 static unsigned written_lines[JL_RECORD_PRIORITY_COUNT];
 static unsigned dropped_lines[JL_RECORD_PRIORITY_COUNT];
 
@@ -80,10 +80,10 @@
 static bool
 begin_line (enum jl_record_event event, size_t *size)
 {
-  size_t space = sizeof buffer - buffered;
-  int length
-      = snprintf (buffer + buffered, space, "E%03d %s t=%.3f ", (int)event,
-                  name_of (event), (double)g_get_real_time () / 1e6);
+  size_t space = sizeof buffer - buffered_bytes;
+  int length = snprintf (buffer + buffered_bytes, space, "E%03d %s t=%.3f ",
+                         (int)event, name_of (event),
+                         (double)g_get_real_time () / 1e6);
 
   *size = (size_t)length;
   return length >= 0 && *size < space;
@@ -92,7 +92,7 @@
 /* Resets the rate limits and logs how many lines were dropped in the previous
  * second. */
 static void
-begin_second (uint64_t now)
+begin_second (uint64_t now_s)
 {
   unsigned total = 0;
   unsigned previous[JL_RECORD_PRIORITY_COUNT];
@@ -100,7 +100,7 @@
   memcpy (previous, dropped_lines, sizeof previous);
   memset (written_lines, 0, sizeof written_lines);
   memset (dropped_lines, 0, sizeof dropped_lines);
-  second = now;
+  current_second = now_s;
   for (unsigned i = 0; i < JL_RECORD_PRIORITY_COUNT; i++)
     total += previous[i];
   if (total > 0)
@@ -113,10 +113,10 @@
 bool
 jl_record_allowed (enum jl_record_priority priority)
 {
-  uint64_t now = jl_now () / JL_USEC_PER_SEC;
+  uint64_t now_s = jl_now () / JL_USEC_PER_SEC;
 
-  if (now != second)
-    begin_second (now);
+  if (now_s != current_second)
+    begin_second (now_s);
   if (written_lines[priority] < lines_per_s[priority])
     return true;
   dropped_lines[priority]++;
@@ -137,14 +137,15 @@
   if (!jl_record_allowed (priority) || !begin_line (event, &size))
     return;
   written_lines[priority]++;
-  space = sizeof buffer - buffered - size;
+  space = sizeof buffer - buffered_bytes - size;
   va_start (arguments, format);
-  added = g_vsnprintf (buffer + buffered + size, space, format, arguments);
+  added
+      = g_vsnprintf (buffer + buffered_bytes + size, space, format, arguments);
   va_end (arguments);
   if (added < 0 || (size_t)added >= space)
     return;
-  buffered += size + (size_t)added;
-  buffer[buffered++] = '\n';
+  buffered_bytes += size + (size_t)added;
+  buffer[buffered_bytes++] = '\n';
 }
 
 void
@@ -152,11 +153,11 @@
 {
   ssize_t length;
 
-  if (buffered == 0)
+  if (buffered_bytes == 0)
     return;
-  length = write (STDOUT_FILENO, buffer, buffered);
+  length = write (STDOUT_FILENO, buffer, buffered_bytes);
   if (length <= 0)
     return;
-  memmove (buffer, buffer + length, buffered - (size_t)length);
-  buffered -= (size_t)length;
+  memmove (buffer, buffer + length, buffered_bytes - (size_t)length);
+  buffered_bytes -= (size_t)length;
 }
--- a/source/net/conn-impl.h
+++ b/source/net/conn-impl.h
@@ -58,7 +58,7 @@
  *                       owner receives no further callbacks
  * @output_shut: the output direction was shut down
  * @closing: libuv is closing the handle; the owner receives no further
- * callbacks
+ *           callbacks
  * @flush_queued: the connection is in the flush queue
  * @any_sent: output was passed to the kernel since jl_conn_start_request()
  * @head_began_us: time at which the first byte of the current head was read
--- a/source/net/parse.c
+++ b/source/net/parse.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /*
- * Buffered input after a complete message, in bytes, above which reading is
+ * Number of bytes buffered after a complete message above which reading is
  * paused.
  */
 #define PENDING_INPUT_BYTES_MAX 65536
@@ -196,7 +196,7 @@
 
 /* Buffers input that follows a message which the owner is still processing. */
 static void
-keep_input (struct jl_conn *conn, const char *data, size_t size)
+buffer_input (struct jl_conn *conn, const char *data, size_t size)
 {
   if (conn->is_client)
     {
@@ -247,7 +247,7 @@
   if (conn->message_complete)
     {
       if (size > 0)
-        keep_input (conn, data, size);
+        buffer_input (conn, data, size);
       return;
     }
   used = http_parser_execute (&conn->parser, &callbacks, data, size);
--- a/source/net/upstream.c
+++ b/source/net/upstream.c
@@ -47,8 +47,7 @@
  * struct jl_pool - idle connections of all endpoints
  * @idle_max_us: maximum idle time given by the owner of the pool
  * @safe_idle_max_us: maximum idle time estimated from stale connections; equal
- * to
- *                    @idle_max_us if there were none
+ *                    to @idle_max_us if there were none
  * @safe_idle_set_us: time at which @safe_idle_max_us was last reduced
  * @idle_conns_max: maximum number of idle connections per endpoint
  * @idle_lists: struct idle_list by endpoint_key()
--- a/source/policy/budget.c
+++ b/source/policy/budget.c
@@ -4,8 +4,8 @@
 
 #include "policy/budget.h"
 
-/* Share of the own part that is used. The rest is a margin, since daemons may
- * differ in the number of daemons that they know. */
+/* Fraction of this daemon's part of the budget that it uses. The margin is
+ * needed since daemons may know different numbers of daemons. */
 #define USABLE_SHARE 0.8
 /* Ring slots that make up one window. The ring holds retries for two slots
  * longer than requests, so a retry is never counted for less than a window. */
--- a/source/policy/failure-rate.h
+++ b/source/policy/failure-rate.h
@@ -4,11 +4,11 @@
 /**
  * DOC: The share of requests that the own target itself fails.
  *
- * It detects a target that fails part of its requests while its heartbeats
- * report that it is healthy. A run also fails when one of its calls fails at a
- * deeper service. The number of failed calls is therefore subtracted from the
- * number of failed runs. The counts decay within seconds, so requests are sent
- * to a failing target again.
+ * The failure rate detects a target that fails part of its requests while its
+ * heartbeats report that it is healthy. A run also fails when one of its calls
+ * fails at a deeper service. The number of failed calls is therefore subtracted
+ * from the number of failed runs. The counts decay within seconds, so requests
+ * are sent to a failing target again.
  */
 
 #include "jackdawladder/base.h"
--- a/source/policy/fanout.c
+++ b/source/policy/fanout.c
@@ -10,7 +10,7 @@
 #define DECAY_FACTOR 0.8
 /* Share of the error that the gradient step of one window corrects. */
 #define STEP_SHARE 0.5
-/* Smoothed number of runs below which nothing is fitted. */
+/* Smoothed number of runs below which the estimates are not updated. */
 #define RUNS_MIN 5.0
 /* Estimates below this number of calls for each run are left out. */
 #define CALLS_PER_RUN_MIN 0.04
--- a/source/policy/fanout.h
+++ b/source/policy/fanout.h
@@ -4,15 +4,15 @@
 /**
  * DOC: Estimates how many calls of each route a run of each route makes.
  *
- * A target's calls do not carry the run that made them. But a daemon counts
- * the runs that begin at its target and the calls that its target makes, and
- * fits the calls to the runs by non-negative least squares: gradient steps over
- * smoothed counts.
+ * A target's calls do not identify the run that made them. Therefore, a daemon
+ * counts the runs that begin at its target and the calls that its target makes,
+ * and estimates the calls for each run by non-negative least squares, with
+ * gradient steps over smoothed counts.
  */
 
 #include "jackdawladder/base.h"
 
-/* Largest number of routes of runs, and of routes of calls, that one daemon
+/* Maximum number of routes of runs, and of routes of calls, that one daemon
  * counts. */
 #define JL_FANOUT_ROUTES_MAX 8
 
--- a/source/policy/lane.h
+++ b/source/policy/lane.h
@@ -22,8 +22,8 @@
  * struct jl_lane_item - a request in the lane, embedded in its owner
  * @rank: priority; 0 is the most important
  * @arrived_us: arrival time
- * @due_us: time by which its answer should be there
- * @expires_us: time after which its answer is useless
+ * @due_us: time at which the latency goal of its route is reached
+ * @expires_us: deadline, after which its answer is useless
  * @waiting: whether it is in the queue
  */
 struct jl_lane_item
--- a/source/policy/load-shedder.c
+++ b/source/policy/load-shedder.c
@@ -11,20 +11,22 @@
 #define HOLD_WEIGHT 0.03
 /* Weight of a window in the moving average of the arrival rate. */
 #define RATE_WEIGHT 0.25
-/* Utilization up to which requests of other zones are admitted. */
+/* Utilization up to which capacity is offered to other zones. */
 #define SPARE_UTILIZATION 0.85
 /* Time in which the queue should reach the desired length, in seconds. */
 #define QUEUE_CORRECTION_S 0.5
 /* Desired queue length for each slot. It keeps the target busy while arrivals
  * fluctuate. */
 #define QUEUE_PER_SLOT 0.6
-/* Share of the difference to the computed share that one window corrects. */
+/* Fraction of the difference to the computed share by which one window raises
+ * or lowers the shed share. */
 #define STEP_UP_SHARE 0.5
 #define STEP_DOWN_SHARE 0.2
-/* Largest share that is refused. The requests that remain show the demand. */
-#define SHED_MAX 0.995
-/* Smaller shares become 0 once nothing has to be refused. */
-#define SHED_MIN 0.01
+/* Maximum shed share. The admitted requests are needed to measure the demand.
+ */
+#define SHED_SHARE_MAX 0.995
+/* A smaller shed share becomes 0 once no demand has to be refused. */
+#define SHED_SHARE_MIN 0.01
 
 void
 jl_load_shedder_init (struct jl_load_shedder *shedder)
@@ -91,9 +93,9 @@
   double step = shed > shedder->shed_share ? STEP_UP_SHARE : STEP_DOWN_SHARE;
 
   shedder->shed_share += step * (shed - shedder->shed_share);
-  if (shed <= 0 && shedder->shed_share < SHED_MIN)
+  if (shed <= 0 && shedder->shed_share < SHED_SHARE_MIN)
     shedder->shed_share = 0;
-  shedder->shed_share = MIN (shedder->shed_share, SHED_MAX);
+  shedder->shed_share = MIN (shedder->shed_share, SHED_SHARE_MAX);
 }
 
 void
--- a/source/policy/load-shedder.h
+++ b/source/policy/load-shedder.h
@@ -5,11 +5,12 @@
  * DOC: Computes the share of the demand for a target that entries should
  * refuse.
  *
- * It keeps the demand within the target's capacity. The arrivals of a window
- * are the demand times the share that was admitted a few windows ago. Dividing
- * by that share gives the whole demand. The demand and the target's capacity
- * (its limit divided by the time for which a request holds a slot) give the
- * share to refuse. A long queue reduces the capacity until the queue is short.
+ * Shedding keeps the admitted load within the target's capacity. The arrivals
+ * of a window are the demand times the share that was admitted a few windows
+ * ago. Dividing by that share gives the whole demand. The demand and the
+ * target's capacity (its limit divided by the time for which a request holds a
+ * slot) give the share to refuse. A long queue reduces the capacity until the
+ * queue is short.
  */
 
 #include "jackdawladder/base.h"
@@ -17,8 +18,8 @@
 /* Length of a control window. */
 #define JL_CONTROL_WINDOW_US (100 * JL_USEC_PER_MSEC)
 
-/* Windows until a refusal at an entry lowers the arrivals at a target deep in
- * the call graph. */
+/* Number of windows until a refusal at an entry lowers the arrivals at a target
+ * deep in the call graph. */
 #define JL_CONTROL_DELAY_WINDOWS 3
 
 /**
@@ -27,7 +28,7 @@
  * @spare_share: share of the capacity that is free for other zones, 0 to 1
  * @hold_us: exponential moving average of the time for which a request holds a
  *           slot
- * @arrival_rate: arrivals a second, exponential moving average
+ * @arrival_rate: exponential moving average of the arrivals a second
  * @admitted_share: admitted share of the demand, averaged like @arrival_rate
  * @admitted_history: ring of the admitted shares of past windows that do not
  * show in
--- a/source/policy/origin.h
+++ b/source/policy/origin.h
@@ -13,7 +13,7 @@
 
 #include "jackdawladder/base.h"
 
-/* Routes whose arrivals one daemon counts. */
+/* Maximum number of routes whose arrivals one daemon counts. */
 #define JL_ARRIVAL_ROUTES_MAX 32
 
 /**
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -4,10 +4,10 @@
  * A daemon sends a full beacon to its own zone every second. Traffic to other
  * zones is expensive: they get a brief beacon, with only the values that change
  * often, every two seconds, and a full beacon every five seconds. Beacons are
- * sent more often while the refused share, the spare capacity or the failure
- * ratio of the target changes, and at once when its state changes or another
- * daemon starts. A lost beacon is not resent, as the next one replaces it. If a
- * zone has many targets of a service, each sends beacons to only a share of the
+ * sent more often while the shed share, the spare capacity or the failure rate
+ * of the target changes, and at once when its state changes or another daemon
+ * starts. A lost beacon is not resent, as the next one replaces it. If a zone
+ * has many targets of a service, each sends beacons to only a share of the
  * daemons of other zones.
  */
 
@@ -34,10 +34,10 @@
 /* Period of checks for changed values; the period of beacons to the own zone
  * while the values keep changing. */
 #define CHECK_PERIOD_US (200 * JL_USEC_PER_MSEC)
-/* Minimum interval of rounds of beacons. */
+/* Minimum interval between two rounds of beacons. */
 #define ROUND_GAP_US (20 * JL_USEC_PER_MSEC)
-/* Change of the refused share that is announced at once. The spare capacity and
- * the failure ratio use multiples of it. */
+/* Change of the shed share that is announced at once. The spare capacity and
+ * the failure rate use multiples of it. */
 #define CHANGE_MIN_RATIO 0.03
 
 /**
@@ -46,9 +46,9 @@
  * @sent_own_zone_us: time of the last beacons to the own zone
  * @sent_other_zones_us: time of the last beacons to other zones
  * @sent_full_us: time of the last full beacons to other zones
- * @sent_shed_share: refused share last sent to the own zone
+ * @sent_shed_share: shed share last sent to the own zone
  * @sent_spare_share: spare capacity last sent to the own zone
- * @sent_failure_rate: failure ratio last sent to the own zone
+ * @sent_failure_rate: failure rate last sent to the own zone
  * @buffer: received datagram
  */
 struct jl_beacon
@@ -95,18 +95,19 @@
                      message->arrivals.arrivals_val[i].count_centi / 100.0);
 }
 
-/* Logs a change that a full beacon announces: a daemon that was not heard, a
- * new incarnation of the daemon or of its target, or another state. */
+/* Logs a change that a full beacon announces: a daemon whose beacons were
+ * missing, a new incarnation of the daemon or of its target, or another state.
+ */
 static void
 log_change (const struct jl_member *member,
             const struct beacon_message *message,
             uint64_t now_us)
 {
-  bool was_heard = jl_member_is_alive (member, now_us);
+  bool was_alive = jl_member_is_alive (member, now_us);
 
   if (message->format == BEACON_FORMAT_BRIEF)
     return;
-  if (was_heard && member->epoch == message->epoch
+  if (was_alive && member->epoch == message->epoch
       && member->state == (enum jl_target_state)message->state
       && strcmp (member->target, message->target) == 0)
     return;
@@ -114,7 +115,7 @@
              "name=%s zone=%s service=%s target=%s state=%s heard_before=%d "
              "sequence=%" PRIu64,
              member->name, message->zone, message->service, message->target,
-             jl_target_state_name (message->state), was_heard,
+             jl_target_state_name (message->state), was_alive,
              (uint64_t)message->sequence);
 }
 
@@ -176,8 +177,8 @@
   log_change (member, message, now_us);
   if (member->epoch != message->epoch)
     {
-      /* A new incarnation: connections to the previous one are closed, and the
-       * daemon knows no other daemon yet. */
+      /* The daemon has started again: its old connections are closed, and it
+       * does not know the other daemons yet. */
       jl_pool_close_endpoint (proxy->peer_pool, member->peer);
       jl_beacon_send_soon (proxy->beacon);
     }
@@ -251,15 +252,15 @@
 encode (struct jl_beacon *beacon, bool full, char *datagram)
 {
   struct jl_proxy *proxy = beacon->proxy;
-  static char none[] = "";
+  static char empty[] = "";
   struct beacon_fanout fanout[BEACON_FANOUT_MAX];
   struct beacon_arrival arrivals[BEACON_ARRIVALS_MAX];
   struct beacon_message message = {
     .format = full ? BEACON_FORMAT_FULL : BEACON_FORMAT_BRIEF,
     .name = proxy->options->name,
-    .zone = full ? proxy->options->zone : none,
-    .service = full ? (char *)jl_proxy_service (proxy) : none,
-    .target = full ? proxy->target.last.id : none,
+    .zone = full ? proxy->options->zone : empty,
+    .service = full ? (char *)jl_proxy_service (proxy) : empty,
+    .target = full ? proxy->target.last.id : empty,
     .ip = proxy->options->advertise.ip,
     .port = proxy->options->advertise.port,
     .epoch = proxy->epoch,
--- a/source/proxy/call.h
+++ b/source/proxy/call.h
@@ -15,11 +15,11 @@
  * struct jl_call - a request in progress at the entry
  * @link: in the proxy's list of calls
  * @relay: the client's request and the current upstream request
- * @site: configuration in force when the request arrived, referenced
+ * @site: configuration in force when the request arrived; holds a reference
  * @route: route of @site
  * @service: service that the request is sent to
  * @zone: preferred zone
- * @from_target: the request is taken for a call of the own target, by its route
+ * @from_target: the request's route identifies it as a call of the own target
  * @begun_us: time of arrival
  * @expires_us: deadline: the earlier of the client's and the route's timeout
  * @body_not_buffered: the body exceeds the buffer, so the request cannot be
@@ -27,7 +27,7 @@
  * @body_bytes: size of the body received so far
  * @member: daemon of the current upstream request, NULL for none
  * @tried: daemons to which the request was sent
- * @tried_count: number of @tried
+ * @tried_count: number of entries in @tried
  * @targets_reached: number of targets that the request has, or may have,
  * reached
  * @may_have_run: a target may have run the request
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -1,6 +1,6 @@
 /**
- * DOC: The demand of this daemon's clients by route, and what is derived from
- * it.
+ * DOC: The demand of this daemon's clients by route, and the values that are
+ * derived from it.
  */
 
 #include "proxy/demand.h"
@@ -74,8 +74,8 @@
           = arrivals->list[i].route_key;
 }
 
-/* Estimates the call tree of a route anew; it is empty if the configuration in
- * force lacks the route. */
+/* Updates the estimated call tree of a route. The tree is empty if the
+ * configuration in force lacks the route. */
 static void
 update_call_tree (struct jl_proxy *proxy, struct jl_demand *demand)
 {
--- a/source/proxy/demand.h
+++ b/source/proxy/demand.h
@@ -2,9 +2,9 @@
 #define JACKDAWLADDER_PROXY_DEMAND_H
 
 /**
- * DOC: The demand of this daemon's clients by route, and what is derived from
- * it: which routes carry calls of targets, the call tree and the plan of each
- * route, the zone of calls, and the retry budgets.
+ * DOC: The demand of this daemon's clients by route, and the values that are
+ * derived from it: which routes carry calls of targets, the call tree and the
+ * plan of each route, the zone of calls, and the retry budgets.
  */
 
 #include "proxy/proxy.h"
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -25,7 +25,7 @@
 
 static void place_call (struct jl_call *call);
 
-/* Returns NULL if @relay is NULL, as the data of an answered request is. */
+/* Returns NULL if @relay is NULL: a request has no data once it is answered. */
 static struct jl_call *
 call_from_relay (struct jl_relay *relay)
 {
--- a/source/proxy/guard.c
+++ b/source/proxy/guard.c
@@ -3,7 +3,7 @@
  *
  * The entries of all daemons send work to the guard. The guard forwards it to
  * the target at once, queues it, or refuses it; refused work has not run. An
- * answer is passed on only if the target gave it to this very request.
+ * answer is passed on only if it belongs to the request.
  */
 
 #include "proxy/proxy.h"
@@ -57,7 +57,7 @@
 
 static void start_work (struct jl_work *work);
 
-/* Returns NULL if @relay is NULL, as the data of an answered request is. */
+/* Returns NULL if @relay is NULL: a request has no data once it is answered. */
 static struct jl_work *
 work_from_relay (struct jl_relay *relay)
 {
--- a/source/proxy/headers.c
+++ b/source/proxy/headers.c
@@ -17,7 +17,8 @@
   return g_ascii_strncasecmp (name, "Jl-", 3) == 0;
 }
 
-/* Whether the entry or the guard sets a field, whatever the client sent. */
+/* Whether the entry or the guard sets a field itself and drops the client's
+ * value. */
 static bool
 is_set_by_entry (const char *name)
 {
--- a/source/proxy/main.c
+++ b/source/proxy/main.c
@@ -1,6 +1,5 @@
 /**
- * DOC: jackdawladder-proxy, the proxy that runs beside each target instance on
- * the users' platform.
+ * DOC: jackdawladder-proxy, the proxy that runs beside each target instance.
  */
 
 #include <argp.h>
@@ -14,11 +13,12 @@
 const char *argp_program_version = "jackdawladder-proxy 0.2";
 
 static const char doc[]
-    = "Overload control beside one target instance, on the users' platform.\v"
+    = "Overload control for one target instance.\v"
       "Without --settings the file named by JACKDAWLADDER_CONFIG is read. "
-      "SIGTERM begins a planned stop, SIGHUP reads the settings again.\n\n"
-      "Exit status: 0 stopped as planned, 1 settings refused, 2 usage, "
-      "3 a socket could not be opened, 4 stopped with requests in progress.";
+      "SIGTERM begins a graceful shutdown, SIGHUP reloads the settings.\n\n"
+      "Exit status: 0 shutdown completed, 1 invalid settings, 2 usage, "
+      "3 a socket could not be opened, 4 grace period ended with requests in "
+      "progress.";
 
 static const struct argp_option arguments[] = {
   { "settings", 's', "FILE", 0, "Settings of this process", 0 },
--- a/source/proxy/pages.c
+++ b/source/proxy/pages.c
@@ -11,8 +11,8 @@
 
 #include <string.h>
 
-/* Maximum size of a heartbeat. A piece that would exceed it is dropped, so that
- * a larger heartbeat is refused as malformed. */
+/* Maximum size of a heartbeat. Data that would exceed it is dropped, so
+ * that a larger heartbeat is refused as malformed. */
 #define HEARTBEAT_BYTES_MAX 65536
 /* Maximum time for which the answer to a leave announcement waits for the
  * store. The target expects the answer within a second and otherwise asks
--- a/source/proxy/place.c
+++ b/source/proxy/place.c
@@ -9,11 +9,11 @@
 
 /* Depth of calls at which the estimate stops. */
 #define DEPTH_MAX 10
-/* Runs for each request below which a service is left out. */
+/* Services with fewer runs for each request are left out of the estimate. */
 #define RUNS_MIN 0.02
-/* A target's load counts (1 + this times its failure rate) times. */
+/* A target's load is multiplied by 1 + FAILURE_LOAD_FACTOR * failure rate. */
 #define FAILURE_LOAD_FACTOR 10.0
-/* Failure rate from which on a target in the preferred zone loses its
+/* Failure rate at which a target in the preferred zone loses its
  * preference over targets of other zones. */
 #define FAILURE_RATE_MAX 0.2
 
--- a/source/proxy/place.h
+++ b/source/proxy/place.h
@@ -13,14 +13,14 @@
 
 #include "proxy/roster.h"
 
-/* Nodes of the largest call tree. */
+/* Maximum number of nodes of a call tree. */
 #define JL_CALL_TREE_NODES_MAX 16
 
 /**
  * struct jl_call_node - runs at one service that a request causes
  * @service: interned, so that it outlives the configuration
  * @runs: mean number of runs for each request
- * @parent: index of the node whose runs make these calls, JL_NONE for the
+ * @parent: index of the node whose runs make the calls, JL_NONE for the
  *          request itself
  */
 struct jl_call_node
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -8,14 +8,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Runs at a service for each request from which on the request is refused if
- * the service has no target. */
+/* A request is refused if it causes at least this mean number of runs at a
+ * service that has no target. */
 #define RUNS_REQUIRED_MIN 0.7
 /* Cost of a failed request, in messages that cross zones. */
 #define FAILURE_COST 10.0
 /* Failure rate up to which requests aren't moved to another zone. */
 #define FAILURE_RATE_IGNORED 0.04
-/* Spare share of the capacity from which on another zone accepts all requests
+/* Spare share of the capacity at which another zone accepts all requests
  * offered to it. */
 #define SPARE_SHARE_FULL 0.25
 /* Smallest difference of the shares admitted, or refused, in two zones at which
@@ -27,7 +27,8 @@
 
 /**
  * struct supply - announced state of some targets of a service
- * @capacity: sum of their capacities; the limit where that is not known
+ * @capacity: sum of their capacities; the limit is used where the capacity is
+ *            not known
  * @shed_share: mean share of the demand to refuse, weighted by capacity
  * @spare_share: mean spare share, weighted by capacity
  * @failure_rate: mean failure rate, weighted by capacity
@@ -373,7 +374,7 @@
 }
 
 /* Plans where the requests go that are not admitted in the plan's zone: to a
- * zone with spare capacity, or to one that refuses less. */
+ * zone with spare capacity, or to a zone that refuses less. */
 static void
 plan_overflow (struct jl_plan *plan,
                const struct jl_roster *roster,
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -13,8 +13,8 @@
 #include <signal.h>
 #include <string.h>
 
-/* Maximum idle time after which a connection to a daemon or to the own target
- * is reused. */
+/* Maximum idle time of a reused connection to a daemon, and to the own target.
+ */
 #define PEER_IDLE_MAX_US (20 * JL_USEC_PER_SEC)
 #define TARGET_IDLE_MAX_US (5 * JL_USEC_PER_SEC)
 /* Idle timeout of connections accepted from daemons, from the own target and
@@ -259,8 +259,8 @@
          && a->announce.port == b->announce.port;
 }
 
-/* Reads the settings again. @requested: by a signal, so that unchanged settings
- * are logged too. */
+/* Reloads the settings. @requested: a signal requested the reload, so unchanged
+ * settings are logged too. */
 static void
 reload (struct jl_proxy *proxy, bool requested)
 {
@@ -304,7 +304,7 @@
                        proxy);
 }
 
-/* Announces that the target takes no more work, as the daemon is about to
+/* Announces that the target takes no more work, because the daemon is about to
  * exit. */
 static void
 close_guard (struct jl_proxy *proxy)
@@ -429,7 +429,7 @@
 }
 
 static void
-init_parts (struct jl_proxy *proxy)
+init_modules (struct jl_proxy *proxy)
 {
   const struct jl_options *options = proxy->options;
 
@@ -460,7 +460,7 @@
   proxy->options_path = path;
   proxy->epoch = (uint64_t)g_get_real_time ();
   proxy->started_us = jl_now ();
-  init_parts (proxy);
+  init_modules (proxy);
   if (!open_sockets (proxy, &why))
     {
       jl_record (JL_RECORD_CHANGE, JL_RECORD_STOPPED, "cause=\"%s\"", why);
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -21,12 +21,12 @@
 
 #include "store.h"
 
-/* Number of routes whose demand is tracked: routes of clients and of the own
- * target. */
+/* Maximum number of routes whose demand is tracked: routes of clients and of
+ * the own target. */
 #define JL_DEMAND_ROUTES_MAX 32
-/* Number of services whose retry budget is tracked. */
+/* Maximum number of services whose retry budget is tracked. */
 #define JL_BUDGET_SERVICES_MAX 32
-/* Number of services called by the own target that are tracked. */
+/* Maximum number of services called by the own target that are tracked. */
 #define JL_OVERFLOW_SERVICES_MAX 16
 /* Number of buckets of a latency histogram; the upper bound of bucket i is
  * 2^i ms, and the last bucket also counts all longer times. */
@@ -50,19 +50,19 @@
  * @requests: requests received from clients
  * @calls: requests received from the own target
  * @served: requests whose answer from a target was passed on completely
- * @refused: requests refused because they have not run
+ * @refused: requests that were refused and have not run
  * @failed: requests that may have run, passed their deadline or lost their
  *          answer
  * @clients_left: requests whose client closed the connection before the answer
  *                was complete
- * @placed_again: requests sent to a further daemon
+ * @placed_again: attempts to send a request to a further daemon
  * @other_zone: requests sent to a daemon of another zone
  * @work: requests that the guard accepted for the own target's service
  * @work_refused: requests that the guard refused
  * @work_lost: requests sent to the own target for which the guard could not
  *             pass on a complete answer
  * @answers_dropped: answers of the own target that belong to another request
- * @beacons_received: datagrams received, also malformed ones
+ * @beacons_received: datagrams received, including malformed ones
  * @beacons_sent: datagrams sent
  * @request_time: time from a request's arrival at the entry to the end of its
  *                answer
@@ -251,7 +251,7 @@
 
 /**
  * jl_entry_check_members - retries the idempotent requests that are in progress
- * at daemons whose beacons have stopped
+ * at daemons whose beacons are missing
  */
 void jl_entry_check_members (struct jl_proxy *proxy);
 
--- a/source/proxy/relay.h
+++ b/source/proxy/relay.h
@@ -54,7 +54,7 @@
 bool jl_relay_start_answer (struct jl_relay *relay);
 
 /**
- * jl_relay_send_body - passes on a piece of the request's body, and pauses the
+ * jl_relay_send_body - passes on a part of the request's body, and pauses the
  * sender if too much of it is not sent yet
  */
 void jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size);
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -149,12 +149,12 @@
 unsigned
 jl_roster_alive_count (const struct jl_roster *roster, uint64_t now_us)
 {
-  unsigned heard = 0;
+  unsigned count = 0;
 
   for (guint i = 0; i < roster->members->len; i++)
     if (jl_member_is_alive (g_ptr_array_index (roster->members, i), now_us))
-      heard++;
-  return heard;
+      count++;
+  return count;
 }
 
 /* Counts the daemons in the zone of @self with targets of the same service,
--- a/source/proxy/roster.h
+++ b/source/proxy/roster.h
@@ -14,7 +14,7 @@
 #include "policy/origin.h"
 #include "proxy/target.h"
 
-/* Fan-out estimates that one daemon announces. */
+/* Maximum number of fan-out estimates that one daemon announces. */
 #define JL_MEMBER_FANOUT_MAX 32
 
 /**
@@ -35,7 +35,8 @@
  * @site_version: version of the configuration that it uses
  * @in_other_zone: it is in another zone, and its beacons are less frequent
  * @last_beacon_us: time of its last beacon, 0 for none
- * @avoid_until_us: a request to it failed; it receives none before this time
+ * @avoid_until_us: a request to it failed; it receives no requests before this
+ *                  time
  * @outstanding: requests that this daemon has sent to it, without an answer so
  *               far
  * @fanout: calls that runs at its target make
@@ -69,7 +70,7 @@
 /**
  * struct jl_roster - all known daemons, this one among them
  * @members: array of struct jl_member, which are never removed
- * @by_name: the same by name
+ * @by_name: the members by name
  * @own_zone: availability zone of this daemon
  */
 struct jl_roster
@@ -83,14 +84,15 @@
 void jl_roster_clear (struct jl_roster *roster);
 
 /**
- * jl_roster_get_or_add - returns the daemon called @name, which it adds if it
- * is new
+ * jl_roster_get_or_add - returns the daemon named @name; adds it if it is not
+ * known
  */
 struct jl_member *jl_roster_get_or_add (struct jl_roster *roster,
                                         const char *name);
 
 /**
- * jl_member_is_alive - whether a beacon came recently enough
+ * jl_member_is_alive - whether a beacon of the daemon was received recently
+ * enough
  */
 bool jl_member_is_alive (const struct jl_member *member, uint64_t now_us);
 
@@ -109,14 +111,16 @@
                                 uint64_t now_us);
 
 /**
- * jl_member_accepts_work - whether a request to @service can be sent to it now
+ * jl_member_accepts_work - whether a request to @service can be sent to the
+ * daemon now
  */
 bool jl_member_accepts_work (const struct jl_member *member,
                              const char *service,
                              uint64_t now_us);
 
 /**
- * jl_member_avoid - sends no requests to it for a while, after one failed
+ * jl_member_avoid - stops requests to the daemon for a short time, after one
+ * has failed
  */
 void jl_member_avoid (struct jl_member *member, uint64_t now_us);
 
--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -18,17 +18,17 @@
 /* Time for which a long poll of the store waits for a change. */
 #define SITE_POLL_MS 20000
 #define DAEMON_POLL_MS 25000
-/* Pause after each answer of the table of daemons, so that the rows of daemons
- * that start together are read in one poll. */
+/* Delay between a response and the next poll of the table of daemons, so that
+ * the rows of daemons that start together are read in one poll. */
 #define DAEMON_BATCH_US (1 * JL_USEC_PER_SEC)
-/* Long poll time of the few daemons of each zone that poll the configuration
- * frequently, and their number: a poll that the store has lost ends soon. The
- * other daemons get the configuration from them. */
+/* Long-poll time and number of the daemons of each zone that poll the
+ * configuration frequently. The short time limits the delay if the store has
+ * lost a poll. The other daemons get the configuration from these daemons. */
 #define SITE_FREQUENT_POLL_MS 4000
 #define FREQUENT_POLLERS_MAX 2
-/* Pause after each answer at the other daemons, to receive several changes in
- * one poll. It is within the time in which a change has to be in force, also at
- * a daemon that receives no beacons. */
+/* Delay between a response and the next poll at the other daemons, to receive
+ * several changes in one poll. It is shorter than the time within which a
+ * change must be in force, also at a daemon that receives no beacons. */
 #define SITE_BATCH_US (1200 * JL_USEC_PER_MSEC)
 
 /* Returns the JSON object in a row, NULL if the row holds no valid object. */
--- a/source/proxy/rows.h
+++ b/source/proxy/rows.h
@@ -16,8 +16,8 @@
 void jl_rows_open (struct jl_proxy *proxy);
 
 /**
- * jl_rows_write_departed - writes the incarnations of the own target that have
- * left, if the list has changed, so that this daemon knows them after a restart
+ * jl_rows_write_departed - writes the departed incarnations of the own target
+ * if the list has changed, so that this daemon knows them after a restart
  */
 void jl_rows_write_departed (struct jl_proxy *proxy);
 
--- a/source/proxy/target.h
+++ b/source/proxy/target.h
@@ -52,7 +52,7 @@
   JL_TARGET_DOWN,
 };
 
-/* Incarnations that have left and are remembered. */
+/* Maximum number of departed incarnations that are recorded. */
 #define JL_TARGET_DEPARTED_MAX 8
 
 /**
@@ -70,7 +70,7 @@
 /**
  * struct jl_target - state of the own target
  * @last: the last heartbeat that was applied
- * @last_heartbeat_us: when that was
+ * @last_heartbeat_us: time at which it was applied
  * @up_since_us: time at which it last became JL_TARGET_UP
  * @departed: ring of the incarnations that have left
  * @departed_next: index in @departed of the next entry to write
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -48,8 +48,8 @@
   return endpoint;
 }
 
-/* @host: part of the loopback address, which differs by test, as tests run in
- * parallel. */
+/* @host: part of the loopback address; it differs between tests, because tests
+ * run in parallel. */
 static void
 rig_prepare (struct rig *rig, unsigned host)
 {
@@ -218,8 +218,8 @@
   cr_assert_eq (rig.store.writes, 1, "only the daemon's own row");
 }
 
-/* Guards against a loss of earlier leave records when the row has to be written
- * before it could be read. */
+/* Guards against the loss of earlier departed incarnations when the row is
+ * written before it was read. */
 Test (daemon, what_left_before_stays_in_the_row)
 {
   struct rig rig;
--- a/tests/proxy/store.c
+++ b/tests/proxy/store.c
@@ -31,10 +31,10 @@
 }
 
 static void
-on_reach (void *context, bool reached, const char *why)
+on_reachability (void *context, bool reachable, const char *why)
 {
   (void)context;
-  cr_assert (reached, "%s", why);
+  cr_assert (reachable, "%s", why);
 }
 
 static void
@@ -48,7 +48,7 @@
 
 static const struct jl_store_ops ops = {
   .row = on_row,
-  .reachable = on_reach,
+  .reachable = on_reachability,
   .written = on_written,
 };
 
@@ -58,7 +58,7 @@
 struct fixture
 {
   struct jl_loop *loop;
-  struct fake_store played;
+  struct fake_store fake;
   struct jl_store *store;
   struct owner owner;
 };
@@ -70,7 +70,7 @@
       = { .ip = INADDR_LOOPBACK + (host << 8), .port = 17007 };
 
   memset (fixture, 0, sizeof *fixture);
-  fake_store_open (&fixture->played, endpoint);
+  fake_store_open (&fixture->fake, endpoint);
   fixture->loop = jl_loop_new ();
   fixture->store = jl_store_new (fixture->loop, jl_net_new (fixture->loop),
                                  endpoint, &ops, &fixture->owner);
@@ -79,7 +79,7 @@
 static void
 run_loops (struct fixture *fixture)
 {
-  fake_store_run (&fixture->played, fixture->loop, 500);
+  fake_store_run (&fixture->fake, fixture->loop, 500);
 }
 
 /*
@@ -91,10 +91,10 @@
   struct fixture fixture;
 
   fixture_open (&fixture, 77);
-  fake_store_put (&fixture.played, "t", "k", "mine");
+  fake_store_put (&fixture.fake, "t", "k", "mine");
   jl_store_write (fixture.store, "t", "k", "mine");
   run_loops (&fixture);
-  cr_assert_eq (fixture.played.writes, 1, "%u writes", fixture.played.writes);
+  cr_assert_eq (fixture.fake.writes, 1, "%u writes", fixture.fake.writes);
   cr_assert_eq (fixture.owner.written, 1);
 }
 
@@ -103,13 +103,13 @@
   struct fixture fixture;
 
   fixture_open (&fixture, 78);
-  fake_store_put (&fixture.played, "t", "k", "other");
+  fake_store_put (&fixture.fake, "t", "k", "other");
   jl_store_write (fixture.store, "t", "k", "mine");
   run_loops (&fixture);
-  cr_assert_eq (fixture.played.writes, 2, "%u writes", fixture.played.writes);
+  cr_assert_eq (fixture.fake.writes, 2, "%u writes", fixture.fake.writes);
   cr_assert_str_eq (fixture.owner.value, "other");
   cr_assert_eq (fixture.owner.written, 1);
-  cr_assert_str_eq (fake_store_get (&fixture.played, "t", "k"), "mine");
+  cr_assert_str_eq (fake_store_get (&fixture.fake, "t", "k"), "mine");
 }
 
 Test (store, one_row_is_read)
@@ -117,8 +117,8 @@
   struct fixture fixture;
 
   fixture_open (&fixture, 79);
-  fake_store_put (&fixture.played, "t", "k", "there");
-  fake_store_put (&fixture.played, "t", "l", "of another");
+  fake_store_put (&fixture.fake, "t", "k", "there");
+  fake_store_put (&fixture.fake, "t", "l", "of another");
   jl_store_read_row (fixture.store, "t", "k");
   run_loops (&fixture);
   cr_assert_eq (fixture.owner.rows, 1);
