--- a/include/jackdawladder/site.h
+++ b/include/jackdawladder/site.h
@@ -48,7 +48,7 @@
  * struct jl_route - the requests to one host whose path begins with a prefix
  * @key: digest of the name, equal in all versions of the configuration
  * @timeout_us: time after which a request is given up
- * @latency_goal_us: an answer within this time has its full value
+ * @latency_goal_us: a response within this time has its full value
  * @rank: priority; 0 is the most important
  * @attempts_max: number of targets that one request may be sent to
  */
--- a/source/policy/failure-rate.c
+++ b/source/policy/failure-rate.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The share of requests that the own target itself fails.
+ * DOC: The share of requests that the local target itself fails.
  */
 
 #include "policy/failure-rate.h"
@@ -35,7 +35,7 @@
 double
 jl_failure_rate_get (const struct jl_failure_rate *rate)
 {
-  double own = rate->failed - rate->calls_failed;
+  double own_failures = rate->failed - rate->calls_failed;
 
-  return MAX (own, 0) / (rate->ended + ASSUMED_RUNS);
+  return MAX (own_failures, 0) / (rate->ended + ASSUMED_RUNS);
 }
--- a/source/policy/failure-rate.h
+++ b/source/policy/failure-rate.h
@@ -2,7 +2,7 @@
 #define JACKDAWLADDER_FAILURE_RATE_H
 
 /**
- * DOC: The share of requests that the own target itself fails.
+ * DOC: The share of requests that the local target itself fails.
  *
  * The failure rate detects a target that fails part of its requests while its
  * heartbeats report that it is healthy. A run also fails when one of its calls
--- a/source/policy/fanout.h
+++ b/source/policy/fanout.h
@@ -58,13 +58,13 @@
 void jl_fanout_init (struct jl_fanout *fanout);
 
 /**
- * jl_fanout_count_run - counts a run that begins at the own target
+ * jl_fanout_count_run - counts a run that begins at the local target
  * @run: key of its route
  */
 void jl_fanout_count_run (struct jl_fanout *fanout, uint32_t run);
 
 /**
- * jl_fanout_count_call - counts a call that the own target makes
+ * jl_fanout_count_call - counts a call that the local target makes
  * @call: key of its route
  */
 void jl_fanout_count_call (struct jl_fanout *fanout, uint32_t call);
--- a/source/policy/lane.c
+++ b/source/policy/lane.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The lane: the concurrency limit and the queue before the own target.
+ * DOC: The lane: the concurrency limit and the queue before the local target.
  */
 
 #include "policy/lane.h"
--- a/source/policy/lane.h
+++ b/source/policy/lane.h
@@ -2,7 +2,7 @@
 #define JACKDAWLADDER_LANE_H
 
 /**
- * DOC: The lane: the concurrency limit and the queue before the own target.
+ * DOC: The lane: the concurrency limit and the queue before the local target.
  *
  * All requests to a target pass through its guard, so the number of requests
  * that run there is exact. Requests above the limit wait in a queue. Requests
@@ -23,7 +23,7 @@
  * @rank: priority; 0 is the most important
  * @arrived_us: arrival time
  * @due_us: time at which the latency goal of its route is reached
- * @expires_us: deadline, after which its answer is useless
+ * @expires_us: deadline, after which its response is useless
  * @waiting: whether it is in the queue
  */
 struct jl_lane_item
--- a/source/policy/origin.c
+++ b/source/policy/origin.c
@@ -48,13 +48,13 @@
                              uint32_t route_key)
 {
   double total = 0;
-  double own = 0;
+  double route_count = 0;
 
   for (unsigned i = 0; i < arrivals->count; i++)
     {
       total += arrivals->list[i].count;
       if (arrivals->list[i].route_key == route_key)
-        own = arrivals->list[i].count;
+        route_count = arrivals->list[i].count;
     }
-  return total >= TOTAL_MIN && own < ABSENT_BELOW;
+  return total >= TOTAL_MIN && route_count < ABSENT_BELOW;
 }
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -1,7 +1,7 @@
 /**
  * DOC: Beacons: UDP datagrams in which each daemon announces its state.
  *
- * A daemon sends a full beacon to its own zone every second. Traffic to other
+ * A daemon sends a full beacon to the local zone every second. Traffic to other
  * zones is expensive: they get a brief beacon, with only the values that change
  * often, every two seconds, and a full beacon every five seconds. Beacons are
  * sent more often while the shed share, the spare capacity or the failure rate
@@ -23,15 +23,15 @@
 #define BEACON_FORMAT_FULL 1
 #define BEACON_FORMAT_BRIEF 2
 #define DATAGRAM_BYTES_MAX 1400
-/* Period of beacons to the own zone. */
-#define OWN_ZONE_PERIOD_US (1000 * JL_USEC_PER_MSEC)
+/* Period of beacons to the local zone. */
+#define LOCAL_ZONE_PERIOD_US (1000 * JL_USEC_PER_MSEC)
 /* Period of beacons, brief or full, to other zones. */
 #define OTHER_ZONE_PERIOD_US (2000 * JL_USEC_PER_MSEC)
 /* Period of full beacons to other zones. */
 #define OTHER_ZONE_FULL_PERIOD_US (5 * JL_USEC_PER_SEC)
 /* Minimum interval of beacons to other zones, unless the state has changed. */
 #define OTHER_ZONE_GAP_US (400 * JL_USEC_PER_MSEC)
-/* Period of checks for changed values; the period of beacons to the own zone
+/* Period of checks for changed values; the period of beacons to the local zone
  * while the values keep changing. */
 #define CHECK_PERIOD_US (200 * JL_USEC_PER_MSEC)
 /* Minimum interval between two rounds of beacons. */
@@ -43,12 +43,12 @@
 /**
  * struct jl_beacon - sender and receiver of beacons
  * @sequence: number of the last beacon sent
- * @sent_own_zone_us: time of the last beacons to the own zone
+ * @sent_local_zone_us: time of the last beacons to the local zone
  * @sent_other_zones_us: time of the last beacons to other zones
  * @sent_full_us: time of the last full beacons to other zones
- * @sent_shed_share: shed share last sent to the own zone
- * @sent_spare_share: spare capacity last sent to the own zone
- * @sent_failure_rate: failure rate last sent to the own zone
+ * @sent_shed_share: shed share last sent to the local zone
+ * @sent_spare_share: spare capacity last sent to the local zone
+ * @sent_failure_rate: failure rate last sent to the local zone
  * @buffer: received datagram
  */
 struct jl_beacon
@@ -57,7 +57,7 @@
   uv_udp_t socket;
   struct jl_timer timer;
   uint64_t sequence;
-  uint64_t sent_own_zone_us;
+  uint64_t sent_local_zone_us;
   uint64_t sent_other_zones_us;
   uint64_t sent_full_us;
   double sent_shed_share;
@@ -306,10 +306,10 @@
     beacon->proxy->counters.beacons_sent++;
 }
 
-/* Sends a beacon to all daemons of the own zone, or to the chosen share of the
- * daemons of other zones. */
+/* Sends a beacon to all daemons of the local zone, or to the chosen share of
+ * the daemons of other zones. */
 static void
-send_to_members (struct jl_beacon *beacon, bool own_zone, bool full)
+send_to_members (struct jl_beacon *beacon, bool local_zone, bool full)
 {
   struct jl_proxy *proxy = beacon->proxy;
   char datagram[DATAGRAM_BYTES_MAX];
@@ -323,19 +323,19 @@
           = g_ptr_array_index (proxy->roster.members, i);
 
       if (member == proxy->self || member->peer.port == 0
-          || is_same_zone (proxy, member) != own_zone)
+          || is_same_zone (proxy, member) != local_zone)
         continue;
-      if (own_zone || jl_member_announces_to (proxy->self, member, share))
+      if (local_zone || jl_member_announces_to (proxy->self, member, share))
         send_to (beacon, member->peer, datagram, size);
     }
 }
 
 static void
-send_to_own_zone (struct jl_beacon *beacon)
+send_to_local_zone (struct jl_beacon *beacon)
 {
   const struct jl_proxy *proxy = beacon->proxy;
 
-  beacon->sent_own_zone_us = jl_now ();
+  beacon->sent_local_zone_us = jl_now ();
   beacon->sent_shed_share = proxy->load_shedder.shed_share;
   beacon->sent_spare_share = proxy->load_shedder.spare_share;
   beacon->sent_failure_rate = proxy->self->failure_rate;
@@ -351,7 +351,7 @@
   send_to_members (beacon, false, full);
 }
 
-/* Whether the values have changed enough since the last beacons to the own
+/* Whether the values have changed enough since the last beacons to the local
  * zone. */
 static bool
 has_changed (const struct jl_beacon *beacon)
@@ -379,8 +379,8 @@
   else if (other_zones_age_us >= OTHER_ZONE_PERIOD_US
            || (changed && other_zones_age_us >= OTHER_ZONE_GAP_US))
     send_to_other_zones (beacon, false);
-  if (changed || now_us - beacon->sent_own_zone_us >= OWN_ZONE_PERIOD_US)
-    send_to_own_zone (beacon);
+  if (changed || now_us - beacon->sent_local_zone_us >= LOCAL_ZONE_PERIOD_US)
+    send_to_local_zone (beacon);
   jl_loop_start_timer (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer,
                        beacon);
 }
@@ -390,7 +390,7 @@
 {
   struct jl_beacon *beacon = context;
 
-  send_to_own_zone (beacon);
+  send_to_local_zone (beacon);
   send_to_other_zones (beacon, true);
   jl_loop_start_timer (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer,
                        beacon);
@@ -400,7 +400,7 @@
 jl_beacon_send_soon (struct jl_beacon *beacon)
 {
   uint64_t now_us = jl_now ();
-  uint64_t due_us = MAX (now_us, beacon->sent_own_zone_us + ROUND_GAP_US);
+  uint64_t due_us = MAX (now_us, beacon->sent_local_zone_us + ROUND_GAP_US);
 
   jl_timer_start (beacon->proxy->loop->timers, &beacon->timer, due_us,
                   on_send_timer, beacon);
--- a/source/proxy/call.c
+++ b/source/proxy/call.c
@@ -51,10 +51,10 @@
 }
 
 void
-jl_call_answer (struct jl_call *call,
-                unsigned status,
-                const char *fields,
-                const char *reason)
+jl_call_respond (struct jl_call *call,
+                 unsigned status,
+                 const char *fields,
+                 const char *reason)
 {
   struct jl_request *request = call->relay.request;
   const char *body = reason;
@@ -110,7 +110,7 @@
              (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
   g_snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n",
               (double)after_ms / 1000);
-  jl_call_answer (call, 503, fields, reason);
+  jl_call_respond (call, 503, fields, reason);
 }
 
 void
@@ -124,7 +124,7 @@
              call->tried_count > 0 ? call->tried[call->tried_count - 1]->name
                                    : "-",
              call->targets_reached, jl_call_age_ms (call));
-  jl_call_answer (call, status, "", reason);
+  jl_call_respond (call, status, "", reason);
 }
 
 void
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -52,7 +52,7 @@
     return NULL;
   demand = &proxy->demands[proxy->demand_count++];
   demand->route_key = route->key;
-  demand->plan.zone = proxy->roster.own_zone;
+  demand->plan.zone = proxy->roster.local_zone;
   demand->plan.admit_share = 1;
   demand->plan.limiting_service = "";
   return demand;
@@ -140,7 +140,7 @@
       return jl_overflow_choose_zone (&proxy->overflows[i], &proxy->roster,
                                       draw);
   if (proxy->overflow_count == JL_OVERFLOW_SERVICES_MAX)
-    return proxy->roster.own_zone;
+    return proxy->roster.local_zone;
   overflow = &proxy->overflows[proxy->overflow_count++];
   *overflow = jl_overflow_compute (&proxy->roster, service, jl_now ());
   return jl_overflow_choose_zone (overflow, &proxy->roster, draw);
--- a/source/proxy/demand.h
+++ b/source/proxy/demand.h
@@ -25,7 +25,8 @@
 bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route_key);
 
 /**
- * jl_demand_choose_call_zone - chooses the zone of a call of the own target to
+ * jl_demand_choose_call_zone - chooses the zone of a call of the local target
+ * to
  * @service
  * @draw: random number, uniform from 0 to 1
  */
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -1,10 +1,10 @@
 /**
- * DOC: The entry: requests of clients and of the own target.
+ * DOC: The entry: requests of clients and of the local target.
  *
  * The entry sends each request to the daemon of one target. It sends the
  * request to another daemon only if the first target cannot have run it, or if
  * the request is idempotent and the retry budget allows a retry. The entry
- * answers the client as soon as no further attempt is possible.
+ * responds to the client as soon as no further attempt is possible.
  */
 
 #include "proxy/proxy.h"
@@ -20,7 +20,7 @@
 #define BUFFERED_BODY_BYTES_MAX 262144u
 /* Timeout for sending the first byte of a request to a daemon. */
 #define CONNECT_TIMEOUT_US (250 * JL_USEC_PER_MSEC)
-/* Status of a target's answer when the request's deadline has passed. */
+/* Status of a target's response when the request's deadline has passed. */
 #define STATUS_GATEWAY_TIMEOUT 504
 
 static void place_call (struct jl_call *call);
@@ -79,7 +79,7 @@
     jl_call_give_up (call, reason);
 }
 
-/* Handles an attempt that ended without an answer although a target may have
+/* Handles an attempt that ended without a response although a target may have
  * run the request. Only idempotent requests are retried. */
 static void
 handle_unknown_outcome (struct jl_call *call, const char *reason)
@@ -116,7 +116,7 @@
 }
 
 static void
-finish_answer (struct jl_call *call)
+finish_response (struct jl_call *call)
 {
   struct jl_request *request = call->relay.request;
 
@@ -127,16 +127,16 @@
 }
 
 static void
-start_answer (struct jl_call *call)
+start_response (struct jl_call *call)
 {
-  if (jl_relay_start_answer (&call->relay))
-    finish_answer (call);
+  if (jl_relay_start_response (&call->relay))
+    finish_response (call);
 }
 
 /*
- * Whether a request that the target answered with a server error is retried. If
- * so, discards the answer and takes the retry from the budget. A request past
- * its deadline is not retried.
+ * Whether a request to which the target responded with a server error is
+ * retried. If so, discards the response and takes the retry from the budget. A
+ * request past its deadline is not retried.
  */
 static bool
 prepare_failure_retry (struct jl_call *call)
@@ -167,7 +167,7 @@
   if (outcome == NULL && head->status >= 500 && prepare_failure_retry (call))
     place_again (call, "target-failed");
   else if (outcome == NULL)
-    start_answer (call);
+    start_response (call);
   else if (strcmp (outcome, "not-run") != 0)
     handle_unknown_outcome (call, reason);
   else if (strcmp (reason, "target-refused") == 0)
@@ -185,11 +185,11 @@
 on_complete (void *context, struct jl_upstream *upstream)
 {
   (void)upstream;
-  finish_answer (call_from_relay (context));
+  finish_response (call_from_relay (context));
 }
 
-/* Ends a request whose answer broke off after its head was passed on. Closes
- * the client's connection, so that the client sees that the answer is
+/* Ends a request whose response broke off after its head was passed on. Closes
+ * the client's connection, so that the client sees that the response is
  * incomplete. */
 static void
 abort_call (struct jl_call *call)
@@ -214,7 +214,7 @@
   struct jl_call *call = call_from_relay (context);
 
   (void)upstream;
-  if (call->relay.answer_started)
+  if (call->relay.response_started)
     {
       abort_call (call);
       return;
@@ -246,7 +246,7 @@
 {
   struct jl_call *call = context;
 
-  if (call->relay.answer_started)
+  if (call->relay.response_started)
     return;
   if (jl_now () >= call->expires_us && !JL_TEST_DISABLED ("deadline"))
     {
@@ -305,7 +305,7 @@
   call->tried[call->tried_count++] = member;
   call->member = member;
   member->outstanding++;
-  if (strcmp (member->zone, proxy->roster.own_zone) != 0)
+  if (strcmp (member->zone, proxy->roster.local_zone) != 0)
     proxy->counters.other_zone++;
   if (!open_upstream (call))
     {
@@ -403,7 +403,7 @@
   jl_relay_init (&call->relay, request);
   call->begun_us = jl_now ();
   call->expires_us = call->begun_us + JL_USEC_PER_SEC;
-  call->zone = proxy->roster.own_zone;
+  call->zone = proxy->roster.local_zone;
   cds_list_add_tail (&call->link, &proxy->calls);
   return call;
 }
@@ -430,12 +430,12 @@
                  "id=%s reason=no-route host=%s target=%.80s site=%" PRIx64,
                  jl_call_attempt_id (call), host != NULL ? host : "-",
                  jl_head_target (head), call->site->version);
-      jl_call_answer (call, 404, "", "no-route");
+      jl_call_respond (call, 404, "", "no-route");
       return;
     }
   if (head->has_length && head->length > call->site->body_bytes_max)
     {
-      jl_call_answer (call, 413, "", "too-large");
+      jl_call_respond (call, 413, "", "too-large");
       return;
     }
   call->service = choose_service (call->route);
@@ -457,12 +457,12 @@
   struct jl_call *call = call_from_relay (jl_request_data (request));
 
   (void)context;
-  if (call == NULL || call->relay.answer_started)
+  if (call == NULL || call->relay.response_started)
     return;
   call->body_bytes += size;
   if (call->body_bytes > call->site->body_bytes_max)
     {
-      jl_call_answer (call, 413, "", "too-large");
+      jl_call_respond (call, 413, "", "too-large");
       return;
     }
   if (call->relay.buffered_body->len + size <= BUFFERED_BODY_BYTES_MAX
@@ -510,7 +510,7 @@
 
   cds_list_for_each_entry_safe (
       call, next, &proxy->calls,
-      link) if (call->member != NULL && !call->relay.answer_started
+      link) if (call->member != NULL && !call->relay.response_started
                 && call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
                 && !jl_member_is_alive (call->member, now_us))
       handle_unknown_outcome (call, "member-silent");
--- a/source/proxy/headers.c
+++ b/source/proxy/headers.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Rewrites the heads of requests and answers that are passed on.
+ * DOC: Rewrites the heads of requests and responses that are passed on.
  */
 
 #include "proxy/proxy.h"
--- a/source/proxy/hooks.h
+++ b/source/proxy/hooks.h
@@ -9,12 +9,12 @@
  * without JL_TEST_HOOKS no mechanism can be disabled. With the mechanism
  * disabled:
  *
- * - "match": the guard passes on answers that belong to other requests
+ * - "match": the guard passes on responses that belong to other requests
  * - "not-run": the guard reports "not-run" for requests that may have run
  * - "once": the entry retries requests that are not idempotent
  * - "drain": a target that is leaving still receives work
  * - "deadline": the entry does not end requests at their deadline
- * - "left": leave records read from the store are ignored
+ * - "left": departed incarnations read from the store are ignored
  */
 
 #ifdef JL_TEST_HOOKS
--- a/source/proxy/options.h
+++ b/source/proxy/options.h
@@ -11,12 +11,12 @@
  * struct jl_options - settings of one proxy
  * @name: name of this daemon, unique in the site
  * @zone: availability zone of this daemon
- * @service: service of the own target, until the target announces itself
+ * @service: service of the local target, until the target announces itself
  * @ip: address of the peer and metrics ports, in host byte order
- * @target: endpoint at which the own target accepts requests
- * @entry: listener for requests of clients and of the own target
+ * @target: endpoint at which the local target accepts requests
+ * @entry: listener for requests of clients and of the local target
  * @ready: listener for the platform's readiness checks
- * @announce: listener for the own target's heartbeats
+ * @announce: listener for the local target's heartbeats
  * @peer_port: port for requests (TCP) and beacons (UDP) of other daemons
  * @advertise: endpoint at which other daemons reach @peer_port; @ip and
  *             @peer_port unless set
--- a/source/proxy/pages.c
+++ b/source/proxy/pages.c
@@ -1,6 +1,6 @@
 /**
  * DOC: HTTP listeners that do not forward requests: readiness, heartbeats of
- * the own target, metrics.
+ * the local target, metrics.
  */
 
 #include "proxy/proxy.h"
@@ -14,13 +14,13 @@
 /* Maximum size of a heartbeat. Data that would exceed it is dropped, so
  * that a larger heartbeat is refused as malformed. */
 #define HEARTBEAT_BYTES_MAX 65536
-/* Maximum time for which the answer to a leave announcement waits for the
- * store. The target expects the answer within a second and otherwise asks
+/* Maximum time for which the response to a leave announcement waits for the
+ * store. The target expects the response within a second and otherwise asks
  * another daemon. */
 #define LEAVE_ACK_TIMEOUT_US (300 * JL_USEC_PER_MSEC)
 
 static void
-answer_text (struct jl_request *request, unsigned status, const char *text)
+respond_text (struct jl_request *request, unsigned status, const char *text)
 {
   jl_request_reply (request, status, "Content-Type: text/plain\r\n", text,
                     strlen (text));
@@ -33,17 +33,17 @@
   const char *target = jl_head_target (jl_request_head (request));
 
   if (strcmp (target, JL_PATH_READY) != 0)
-    answer_text (request, 404, "not found\n");
+    respond_text (request, 404, "not found\n");
   else if (jl_proxy_is_ready (proxy))
-    answer_text (request, 200, "ready\n");
+    respond_text (request, 200, "ready\n");
   else
-    answer_text (request, 503, "not ready\n");
+    respond_text (request, 503, "not ready\n");
 }
 
 const struct jl_handler jl_ready_handler = { .begin = on_ready_begin };
 
 static void
-answer_json (struct jl_request *request, unsigned status)
+respond_json (struct jl_request *request, unsigned status)
 {
   jl_request_reply (request, status, "Content-Type: application/json\r\n", "{}",
                     2);
@@ -61,14 +61,14 @@
   return target + strlen (JL_PATH_INSTANCES);
 }
 
-/* Answers the pending leave announcements. A later incarnation of this daemon
- * knows that the target has left only if the row was written. */
+/* Responds to the pending leave announcements. A later incarnation of this
+ * daemon knows that the target has left only if the row was written. */
 static void
 acknowledge_leave (struct jl_proxy *proxy)
 {
   jl_timer_stop (proxy->loop->timers, &proxy->leave_timer);
   for (guint i = 0; i < proxy->leave_requests->len; i++)
-    answer_json (g_ptr_array_index (proxy->leave_requests, i), 200);
+    respond_json (g_ptr_array_index (proxy->leave_requests, i), 200);
   jl_record (JL_RECORD_CHANGE, JL_RECORD_LEAVING_ACKNOWLEDGED,
              "target=%s written=%d heartbeats=%u", proxy->target.last.id,
              proxy->departed_row_acknowledged, proxy->leave_requests->len);
@@ -89,15 +89,15 @@
   acknowledge_leave (context);
 }
 
-/* Answers a leave announcement once the store has acknowledged the row that
+/* Responds to a leave announcement once the store has acknowledged the row that
  * records it, or after a timeout. */
 static void
-answer_leave (struct jl_proxy *proxy, struct jl_request *request)
+respond_to_leave (struct jl_proxy *proxy, struct jl_request *request)
 {
   jl_rows_write_departed (proxy);
   if (proxy->departed_row_acknowledged)
     {
-      answer_json (request, 200);
+      respond_json (request, 200);
       return;
     }
   if (proxy->leave_requests->len == 0)
@@ -114,7 +114,7 @@
   if (jl_target_mark_departed (&proxy->target, id,
                                (uint64_t)g_get_real_time () / JL_USEC_PER_MSEC))
     jl_proxy_target_changed (proxy, "left");
-  answer_leave (proxy, request);
+  respond_to_leave (proxy, request);
 }
 
 static void
@@ -132,16 +132,16 @@
       jl_record (JL_RECORD_CHANGE, JL_RECORD_TARGET_HEARTBEAT_REFUSED,
                  "target=%.60s cause=\"%s\"", id, error->message);
       g_error_free (error);
-      answer_json (request, 400);
+      respond_json (request, 400);
       return;
     }
   g_strlcpy (heartbeat.id, id, sizeof heartbeat.id);
   if (jl_target_apply_heartbeat (&proxy->target, &heartbeat, jl_now ()))
     jl_proxy_target_changed (proxy, "heartbeat");
   if (heartbeat.draining)
-    answer_leave (proxy, request);
+    respond_to_leave (proxy, request);
   else
-    answer_json (request, 200);
+    respond_json (request, 200);
 }
 
 static void
@@ -152,13 +152,13 @@
   const char *method = jl_request_head (request)->method;
 
   if (id == NULL || *id == '\0' || strlen (id) >= JL_TEXT_SIZE)
-    answer_json (request, 404);
+    respond_json (request, 404);
   else if (strcmp (method, "DELETE") == 0)
     handle_leave (proxy, request, id);
   else if (strcmp (method, "PUT") == 0)
     jl_request_set_data (request, g_byte_array_new ());
   else
-    answer_json (request, 405);
+    respond_json (request, 405);
 }
 
 static void
@@ -250,7 +250,7 @@
   append_counter (text, "work_total", counters->work);
   append_counter (text, "work_refused_total", counters->work_refused);
   append_counter (text, "work_lost_total", counters->work_lost);
-  append_counter (text, "answers_dropped_total", counters->answers_dropped);
+  append_counter (text, "answers_dropped_total", counters->responses_dropped);
   append_counter (text, "beacons_received_total", counters->beacons_received);
   append_counter (text, "beacons_sent_total", counters->beacons_sent);
   append_counter (text, "store_reads_total", store->reads);
@@ -307,9 +307,9 @@
   else if (strcmp (target, "/state") == 0)
     append_state (text, proxy);
   if (text->len > 0)
-    answer_text (request, 200, text->str);
+    respond_text (request, 200, text->str);
   else
-    answer_text (request, 404, "not found\n");
+    respond_text (request, 404, "not found\n");
   g_string_free (text, TRUE);
 }
 
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -114,7 +114,8 @@
                 const char *service,
                 double shed)
 {
-  double own = demand->rate * jl_call_tree_runs (&demand->tree, service);
+  double demand_load
+      = demand->rate * jl_call_tree_runs (&demand->tree, service);
   double preceding = 0;
   double total = 0;
 
@@ -128,9 +129,9 @@
           && has_precedence (&demands[i], demand, service))
         preceding += load;
     }
-  if (own <= 0)
+  if (demand_load <= 0)
     return 1 - shed;
-  return CLAMP (((1 - shed) * total - preceding) / own, 0, 1);
+  return CLAMP (((1 - shed) * total - preceding) / demand_load, 0, 1);
 }
 
 /**
@@ -217,7 +218,7 @@
            uint64_t now_us)
 {
   struct location locations[JL_CALL_TREE_NODES_MAX];
-  double crossings = strcmp (zone, roster->own_zone) != 0 ? 1 : 0;
+  double crossings = strcmp (zone, roster->local_zone) != 0 ? 1 : 0;
   double success = 1;
 
   locate_runs (roster, &demand->tree, zone, now_us, locations);
@@ -290,14 +291,14 @@
   return NULL;
 }
 
-/* Returns the zone in which a request costs least. The own zone is preferred at
- * equal cost. */
+/* Returns the zone in which a request costs least. The local zone is preferred
+ * at equal cost. */
 static const char *
 cheapest_zone (const struct jl_roster *roster,
                const struct jl_demand *demand,
                uint64_t now_us)
 {
-  const char *best = roster->own_zone;
+  const char *best = roster->local_zone;
   double best_cost = zone_cost (roster, demand, best, now_us);
   double best_accepted = 0;
   const char *zone;
@@ -423,20 +424,20 @@
   return draw < plan->other_zone_share ? plan->other_zone : NULL;
 }
 
-/* Returns the share of the own zone's calls that should go to a zone with the
+/* Returns the share of the local zone's calls that should go to a zone with the
  * supply @other. */
 static double
-overflow_share (const struct supply *own, const struct supply *other)
+overflow_share (const struct supply *local, const struct supply *other)
 {
   double accepted = MIN (1, other->spare_share / SPARE_SHARE_FULL);
 
   if (other->targets == 0)
     return 0;
   if (other->shed_share <= 0)
-    return MIN (1, OVERFLOW_GAIN * own->shed_share) * accepted;
-  return own->shed_share - other->shed_share < DIFFERENCE_MIN
+    return MIN (1, OVERFLOW_GAIN * local->shed_share) * accepted;
+  return local->shed_share - other->shed_share < DIFFERENCE_MIN
              ? 0
-             : own->shed_share - other->shed_share;
+             : local->shed_share - other->shed_share;
 }
 
 struct jl_overflow
@@ -445,15 +446,16 @@
                      uint64_t now_us)
 {
   struct jl_overflow overflow = { .service = g_intern_string (service) };
-  struct supply own = zone_supply (roster, service, roster->own_zone, now_us);
+  struct supply local
+      = zone_supply (roster, service, roster->local_zone, now_us);
   const char *zone;
   guint index = 0;
 
-  while (own.shed_share > 0
-         && (zone = next_zone (roster, roster->own_zone, &index)) != NULL)
+  while (local.shed_share > 0
+         && (zone = next_zone (roster, roster->local_zone, &index)) != NULL)
     {
       struct supply other = zone_supply (roster, service, zone, now_us);
-      double share = overflow_share (&own, &other);
+      double share = overflow_share (&local, &other);
 
       if (share <= overflow.share)
         continue;
@@ -470,5 +472,5 @@
 {
   if (overflow->zone != NULL && draw < overflow->share)
     return overflow->zone;
-  return roster->own_zone;
+  return roster->local_zone;
 }
--- a/source/proxy/plan.h
+++ b/source/proxy/plan.h
@@ -10,7 +10,7 @@
  * gives the services that its calls will reach, and each service announces the
  * share of its demand that has to be refused. That share is taken from the
  * least important requests first and, among equally important ones, from those
- * that cause the most runs at the service. When the own zone has no capacity
+ * that cause the most runs at the service. When the local zone has no capacity
  * left and another zone has some, or refuses less, the whole request goes
  * there, so that only its first message crosses zones. Calls of a request that
  * has begun are never refused here. They stay in their zone while its targets
@@ -77,12 +77,12 @@
 const char *jl_plan_choose_zone (const struct jl_plan *plan, double draw);
 
 /**
- * struct jl_overflow - the plan for the own target's calls to one service until
- * the next window
+ * struct jl_overflow - the plan for the local target's calls to one service
+ * until the next window
  * @service: interned
  * @zone: another zone with capacity for these calls, NULL for none
  * @share: share of the calls that goes there, 0 to 1; the others stay in the
- *         own zone
+ *         local zone
  */
 struct jl_overflow
 {
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -13,11 +13,12 @@
 #include <signal.h>
 #include <string.h>
 
-/* Maximum idle time of a reused connection to a daemon, and to the own target.
+/* Maximum idle time of a reused connection to a daemon, and to the local
+ * target.
  */
 #define PEER_IDLE_MAX_US (20 * JL_USEC_PER_SEC)
 #define TARGET_IDLE_MAX_US (5 * JL_USEC_PER_SEC)
-/* Idle timeout of connections accepted from daemons, from the own target and
+/* Idle timeout of connections accepted from daemons, from the local target and
  * for readiness checks. It is longer than the times above, so that the client
  * side closes an idle connection first. */
 #define SERVER_IDLE_TIMEOUT_US (60 * JL_USEC_PER_SEC)
@@ -35,7 +36,7 @@
 /* Minimum time for which requests are served after the start of a graceful
  * shutdown, as clients learn of it only after a delay. */
 #define STOP_MIN_US (2500 * JL_USEC_PER_MSEC)
-/* Time for which the own target still receives work after the start of a
+/* Time for which the local target still receives work after the start of a
  * graceful shutdown. It is shorter than STOP_MIN_US, so that this work
  * completes within STOP_MIN_US. */
 #define GUARD_OPEN_US (1700 * JL_USEC_PER_MSEC)
@@ -98,7 +99,7 @@
   return slots > unused ? slots - unused : 1;
 }
 
-/* Copies the own state into this daemon's entry of the roster. */
+/* Copies the local state into this daemon's entry of the roster. */
 static void
 update_self (struct jl_proxy *proxy)
 {
@@ -340,7 +341,7 @@
 }
 
 /* Begins a graceful shutdown. The entry closes each connection after its
- * answer, so that clients reconnect to other daemons. */
+ * response, so that clients reconnect to other daemons. */
 static void
 begin_stop (struct jl_proxy *proxy)
 {
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -4,9 +4,9 @@
 /**
  * DOC: The proxy: one process with one thread beside each target instance.
  *
- * The entry accepts requests from clients and from the instance's own target,
+ * The entry accepts requests from clients and from the local target,
  * and forwards each request to the daemon of a target. The guard is the only
- * path to the own target. All modules of the proxy share struct jl_proxy.
+ * path to the local target. All modules of the proxy share struct jl_proxy.
  */
 
 #include "jackdawladder/record.h"
@@ -22,11 +22,11 @@
 #include "store.h"
 
 /* Maximum number of routes whose demand is tracked: routes of clients and of
- * the own target. */
+ * the local target. */
 #define JL_DEMAND_ROUTES_MAX 32
 /* Maximum number of services whose retry budget is tracked. */
 #define JL_BUDGET_SERVICES_MAX 32
-/* Maximum number of services called by the own target that are tracked. */
+/* Maximum number of services called by the local target that are tracked. */
 #define JL_OVERFLOW_SERVICES_MAX 16
 /* Number of buckets of a latency histogram; the upper bound of bucket i is
  * 2^i ms, and the last bucket also counts all longer times. */
@@ -48,24 +48,25 @@
 /**
  * struct jl_proxy_counters - counters and histograms of the metrics page
  * @requests: requests received from clients
- * @calls: requests received from the own target
- * @served: requests whose answer from a target was passed on completely
+ * @calls: requests received from the local target
+ * @served: requests whose response from a target was passed on completely
  * @refused: requests that were refused and have not run
  * @failed: requests that may have run, passed their deadline or lost their
- *          answer
- * @clients_left: requests whose client closed the connection before the answer
- *                was complete
- * @placed_again: attempts to send a request to a further daemon
+ *          response
+ * @clients_left: requests whose client closed the connection before the
+ *                response was complete
+ * @placed_again: attempts to send a request to another daemon
  * @other_zone: requests sent to a daemon of another zone
- * @work: requests that the guard accepted for the own target's service
+ * @work: requests that the guard accepted for the local target's service
  * @work_refused: requests that the guard refused
- * @work_lost: requests sent to the own target for which the guard could not
- *             pass on a complete answer
- * @answers_dropped: answers of the own target that belong to another request
+ * @work_lost: requests sent to the local target for which the guard could not
+ *             pass on a complete response
+ * @responses_dropped: responses of the local target that belong to another
+ *                     request
  * @beacons_received: datagrams received, including malformed ones
  * @beacons_sent: datagrams sent
  * @request_time: time from a request's arrival at the entry to the end of its
- *                answer
+ *                response
  * @lane_time: time spent in the guard's queue
  * @target_time: time for which a request held a slot of the target
  */
@@ -82,7 +83,7 @@
   uint64_t work;
   uint64_t work_refused;
   uint64_t work_lost;
-  uint64_t answers_dropped;
+  uint64_t responses_dropped;
   uint64_t beacons_received;
   uint64_t beacons_sent;
   struct jl_histogram request_time;
@@ -106,16 +107,16 @@
  * struct jl_proxy - state of the process
  * @options_path: settings file, read again periodically and on SIGHUP
  * @peer_pool: connections to other daemons
- * @target_pool: connections to the own target
+ * @target_pool: connections to the local target
  * @site: configuration in force, NULL until the first one is installed
  * @site_text: text from which @site was parsed
  * @site_size: size of @site_text in bytes
- * @self: this daemon's own entry in @roster
- * @lane: queue in front of the own target
+ * @self: this daemon in @roster
+ * @lane: queue in front of the local target
  * @demands: demand and admission plan of each route used by clients
  * @planned_us: monotonic time at which the plans of @demands were computed
- * @call_routes: keys of the routes that carry calls of the own target
- * @overflows: overflow plan of each service that the own target calls
+ * @call_routes: keys of the routes that carry calls of the local target
+ * @overflows: overflow plan of each service that the local target calls
  * @calls: requests in progress at the entry, of struct jl_call
  * @work_items: requests in progress at the guard, of struct jl_work
  * @leave_requests: leave announcements of the target, answered once the store
@@ -129,7 +130,7 @@
  * @started_us: monotonic clock at the start
  * @stop_since_us: monotonic time at which the graceful shutdown began
  * @stopping: a graceful shutdown has begun
- * @guard_closed: the graceful shutdown has progressed so far that the own
+ * @guard_closed: the graceful shutdown has progressed so far that the local
  * target receives no further work
  */
 struct jl_proxy
@@ -207,7 +208,7 @@
 int jl_proxy_run (struct jl_proxy *proxy);
 
 /**
- * jl_proxy_target_changed - applies a change of the own target's state,
+ * jl_proxy_target_changed - applies a change of the local target's state,
  * identity or number of slots
  * @cause: what caused the change, for the log
  */
@@ -224,7 +225,7 @@
                        const char *source);
 
 /**
- * jl_proxy_service - returns the own target's service: the announced one, or
+ * jl_proxy_service - returns the local target's service: the announced one, or
  * the one from the settings until the target has announced itself
  */
 const char *jl_proxy_service (const struct jl_proxy *proxy);
@@ -278,8 +279,8 @@
 extern const struct jl_handler jl_metrics_handler;
 
 /**
- * jl_pages_acknowledge_leave - answers the pending leave announcements; called
- * when the store has acknowledged the row that records them
+ * jl_pages_acknowledge_leave - responds to the pending leave announcements;
+ * called when the store has acknowledged the row that records them
  */
 void jl_pages_acknowledge_leave (struct jl_proxy *proxy);
 
@@ -292,7 +293,7 @@
 void jl_sync_fetch (struct jl_proxy *proxy, struct jl_member *member);
 
 /**
- * jl_sync_reply - answers another daemon's request for the configuration
+ * jl_sync_reply - responds to another daemon's request for the configuration
  */
 void jl_sync_reply (struct jl_proxy *proxy, struct jl_request *request);
 
@@ -338,16 +339,16 @@
 
 /* Header field that carries a struct jl_work_header. */
 #define JL_WORK_FIELD "Jl-Work"
-/* Header field of answers that a guard generates itself: "not-run", or
+/* Header field of responses that a guard generates itself: "not-run", or
  * "unknown" if the request may have run. */
 #define JL_OUTCOME_FIELD "Jl-Outcome"
-/* Header field of answers that a guard generates itself: the reason. */
+/* Header field of responses that a guard generates itself: the reason. */
 #define JL_REASON_FIELD "Jl-Reason"
 
 /**
  * jl_headers_to_guard - builds the head of a request that an entry forwards to
  * a guard
- * @caller: service of this daemon's own target
+ * @caller: service of the local target
  */
 GString *jl_headers_to_guard (const struct jl_head *head,
                               const struct jl_work_header *work,
@@ -372,7 +373,7 @@
                            struct jl_work_header *work);
 
 /**
- * jl_headers_to_client - builds the header lines of an answer that is passed
+ * jl_headers_to_client - builds the header lines of a response that is passed
  * back, without internal and hop-by-hop fields
  */
 GString *jl_headers_to_client (const struct jl_head *head);
--- a/source/proxy/relay.c
+++ b/source/proxy/relay.c
@@ -31,14 +31,14 @@
 }
 
 bool
-jl_relay_start_answer (struct jl_relay *relay)
+jl_relay_start_response (struct jl_relay *relay)
 {
   const struct jl_head *head = jl_upstream_head (relay->upstream);
   const GByteArray *body = jl_upstream_buffered_body (relay->upstream);
   GString *fields = jl_headers_to_client (head);
   bool complete = jl_upstream_is_complete (relay->upstream);
 
-  relay->answer_started = true;
+  relay->response_started = true;
   jl_request_start_response (relay->request, head->status, fields->str,
                              head->has_length || complete,
                              head->has_length ? head->length : body->len);
@@ -93,7 +93,7 @@
   struct jl_relay *relay = jl_request_data (request);
 
   (void)context;
-  if (relay != NULL && relay->upstream != NULL && !relay->answer_started)
+  if (relay != NULL && relay->upstream != NULL && !relay->response_started)
     jl_upstream_end_body (relay->upstream, relay->chunked);
 }
 
--- a/source/proxy/relay.h
+++ b/source/proxy/relay.h
@@ -18,7 +18,7 @@
  * @upstream: current upstream request, NULL while there is none
  * @buffered_body: buffered part of the request's body
  * @chunked: the request's body uses chunked transfer encoding
- * @answer_started: the head of the answer has been passed on
+ * @response_started: the head of the response has been passed on
  */
 struct jl_relay
 {
@@ -26,7 +26,7 @@
   struct jl_upstream *upstream;
   GByteArray *buffered_body;
   bool chunked;
-  bool answer_started;
+  bool response_started;
 };
 
 /**
@@ -45,13 +45,13 @@
 void jl_relay_cancel_upstream (struct jl_relay *relay);
 
 /**
- * jl_relay_start_answer - passes on the head of the answer and the part of its
- * body received so far
+ * jl_relay_start_response - passes on the head of the response and the part of
+ * its body received so far
  *
- * Return: whether the whole answer was passed on; the caller then has to finish
- * the request.
+ * Return: whether the whole response was passed on; the caller then has to
+ * finish the request.
  */
-bool jl_relay_start_answer (struct jl_relay *relay);
+bool jl_relay_start_response (struct jl_relay *relay);
 
 /**
  * jl_relay_send_body - passes on a part of the request's body, and pauses the
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -21,11 +21,11 @@
 #define OTHER_ZONE_KNOWN_TARGETS 6
 
 void
-jl_roster_init (struct jl_roster *roster, const char *own_zone)
+jl_roster_init (struct jl_roster *roster, const char *local_zone)
 {
   roster->members = g_ptr_array_new_with_free_func (g_free);
   roster->by_name = g_hash_table_new (g_str_hash, g_str_equal);
-  g_strlcpy (roster->own_zone, own_zone, sizeof roster->own_zone);
+  g_strlcpy (roster->local_zone, local_zone, sizeof roster->local_zone);
 }
 
 void
@@ -160,9 +160,9 @@
 /* Counts the daemons in the zone of @self with targets of the same service,
  * itself included. */
 static unsigned
-count_own_zone_peers (const struct jl_roster *roster,
-                      const struct jl_member *self,
-                      uint64_t now_us)
+count_local_zone_peers (const struct jl_roster *roster,
+                        const struct jl_member *self,
+                        uint64_t now_us)
 {
   unsigned count = 0;
 
@@ -183,7 +183,7 @@
                           const struct jl_member *self,
                           uint64_t now_us)
 {
-  unsigned count = count_own_zone_peers (roster, self, now_us);
+  unsigned count = count_local_zone_peers (roster, self, now_us);
 
   return count <= OTHER_ZONE_KNOWN_TARGETS
              ? 1
--- a/source/proxy/roster.h
+++ b/source/proxy/roster.h
@@ -37,7 +37,7 @@
  * @last_beacon_us: time of its last beacon, 0 for none
  * @avoid_until_us: a request to it failed; it receives no requests before this
  *                  time
- * @outstanding: requests that this daemon has sent to it, without an answer so
+ * @outstanding: requests that this daemon has sent to it, without a response so
  *               far
  * @fanout: calls that runs at its target make
  * @arrivals: requests that it received as an entry
@@ -71,16 +71,16 @@
  * struct jl_roster - all known daemons, this one among them
  * @members: array of struct jl_member, which are never removed
  * @by_name: the members by name
- * @own_zone: availability zone of this daemon
+ * @local_zone: availability zone of this daemon
  */
 struct jl_roster
 {
   GPtrArray *members;
   GHashTable *by_name;
-  char own_zone[JL_TEXT_SIZE];
+  char local_zone[JL_TEXT_SIZE];
 };
 
-void jl_roster_init (struct jl_roster *roster, const char *own_zone);
+void jl_roster_init (struct jl_roster *roster, const char *local_zone);
 void jl_roster_clear (struct jl_roster *roster);
 
 /**
--- a/source/proxy/rows.h
+++ b/source/proxy/rows.h
@@ -3,8 +3,8 @@
 
 /**
  * DOC: Rows of the platform's store that the daemon reads and writes: the
- * configuration, the endpoints of the daemons, and the incarnations of the own
- * target that have left.
+ * configuration, the endpoints of the daemons, and the incarnations of the
+ * local target that have left.
  */
 
 #include "proxy/proxy.h"
@@ -16,7 +16,7 @@
 void jl_rows_open (struct jl_proxy *proxy);
 
 /**
- * jl_rows_write_departed - writes the departed incarnations of the own target
+ * jl_rows_write_departed - writes the departed incarnations of the local target
  * if the list has changed, so that this daemon knows them after a restart
  */
 void jl_rows_write_departed (struct jl_proxy *proxy);
--- a/source/proxy/sync.c
+++ b/source/proxy/sync.c
@@ -114,7 +114,7 @@
       sync->proxy = proxy;
       proxy->sync = sync;
     }
-  /* Traffic between zones is expensive: prefers a daemon of the own zone. */
+  /* Traffic between zones is expensive: prefers a daemon of the local zone. */
   if (sync->active && sync->upstream == NULL && !member->in_other_zone)
     sync->member = member;
   if (sync->active)
--- a/source/proxy/target.c
+++ b/source/proxy/target.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The state of the own target, as the daemon knows it.
+ * DOC: The state of the local target, as the daemon knows it.
  */
 
 #include "proxy/target.h"
--- a/source/proxy/target.h
+++ b/source/proxy/target.h
@@ -2,7 +2,7 @@
 #define JACKDAWLADDER_PROXY_TARGET_H
 
 /**
- * DOC: The state of the own target, as the daemon knows it.
+ * DOC: The state of the local target, as the daemon knows it.
  *
  * It comes from the target's heartbeats. Each start of the target is a new
  * incarnation. Heartbeats may be late and out of order: one of an earlier
@@ -38,7 +38,7 @@
 };
 
 /**
- * enum jl_target_state - whether the own target takes work
+ * enum jl_target_state - whether the local target takes work
  * @JL_TARGET_NONE: no target is known
  * @JL_TARGET_UP: it takes work
  * @JL_TARGET_LEAVING: it finishes its running requests and takes no new ones
@@ -68,7 +68,7 @@
 };
 
 /**
- * struct jl_target - state of the own target
+ * struct jl_target - state of the local target
  * @last: the last heartbeat that was applied
  * @last_heartbeat_us: time at which it was applied
  * @up_since_us: time at which it last became JL_TARGET_UP
--- a/tests/proxy/lane.c
+++ b/tests/proxy/lane.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of the lane: the concurrency limit and the queue before the own
+ * DOC: Tests of the lane: the concurrency limit and the queue before the local
  * target.
  */
 
--- a/tests/proxy/load.c
+++ b/tests/proxy/load.c
@@ -168,7 +168,7 @@
 
 /*
  * The other zone has callers of its own and refuses a small share of their
- * calls, while the own zone refuses half.
+ * calls, while the local zone refuses half.
  */
 Test (load, calls_overflow_to_a_zone_that_refuses_less)
 {
@@ -209,7 +209,7 @@
 
   demand.tree.count = 1;
   demand.tree.nodes[0] = (struct jl_call_node){ "deep", 1, JL_NONE };
-  g_strlcpy (zones->roster.own_zone, zone, JL_TEXT_SIZE);
+  g_strlcpy (zones->roster.local_zone, zone, JL_TEXT_SIZE);
   return jl_plan_compute (&zones->roster, &demand, 1, &demand, JL_USEC_PER_SEC);
 }
 
--- a/tests/proxy/place.c
+++ b/tests/proxy/place.c
@@ -236,8 +236,8 @@
 }
 
 /*
- * The own zone has no target of the middle service. Its calls go to another
- * zone, and their own calls run there, so the spare capacity of the own deep
+ * The local zone has no target of the middle service. Its calls go to another
+ * zone, and their own calls run there, so the spare capacity of the local deep
  * target can't be used.
  */
 Test (place, calls_that_left_the_zone_count_where_they_run)
--- a/tests/proxy/target.c
+++ b/tests/proxy/target.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of the state of the own target.
+ * DOC: Tests of the state of the local target.
  */
 
 #include <criterion/criterion.h>
