--- a/include/jackdawladder/site.h
+++ b/include/jackdawladder/site.h
@@ -24,8 +24,7 @@
  * may have run
  * @JL_RETRY_POLICY_IDEMPOTENT: the requests are idempotent and may be retried
  * @JL_RETRY_POLICY_AT_MOST_ONCE: each request runs at most once
- * @JL_RETRY_POLICY_UPLOAD: each request runs at most once, and has a large
- * body
+ * @JL_RETRY_POLICY_UPLOAD: each request runs at most once, and has a large body
  */
 enum jl_retry_policy
 {
--- a/source/policy/load-shedder.h
+++ b/source/policy/load-shedder.h
@@ -31,7 +31,7 @@
  * @arrival_rate: exponential moving average of the arrivals a second
  * @admitted_share: admitted share of the demand, averaged like @arrival_rate
  * @admitted_history: ring of the admitted shares of past windows that do not
- * show in
+ *                    show in
  *           @arrival_rate yet
  * @window: number of windows so far
  * @arrivals: arrivals in this window
--- a/source/proxy/call.c
+++ b/source/proxy/call.c
@@ -107,7 +107,7 @@
              call->tried_count, jl_call_age_ms (call), remaining_ms, after_ms,
              call->site != NULL ? call->site->version : 0,
              plan->limiting_service, plan->shed_share, plan->admit_share,
-             (now_us - proxy->planned_us) / JL_USEC_PER_MSEC);
+             (now_us - proxy->plans_computed_us) / JL_USEC_PER_MSEC);
   g_snprintf (fields, sizeof fields, "Retry-After: %.3f\r\n",
               (double)after_ms / 1000);
   jl_call_respond (call, 503, fields, reason);
--- a/source/proxy/call.h
+++ b/source/proxy/call.h
@@ -23,13 +23,13 @@
  * @begun_us: time of arrival
  * @expires_us: deadline: the earlier of the client's and the route's timeout
  * @body_not_buffered: the body exceeds the buffer, so the request cannot be
- * resent
+ *                     resent
  * @body_bytes: size of the body received so far
  * @member: daemon of the current upstream request, NULL for none
  * @tried: daemons to which the request was sent
  * @tried_count: number of entries in @tried
  * @targets_reached: number of targets that the request has, or may have,
- * reached
+ *                   reached
  * @may_have_run: a target may have run the request
  * @reason: why the last attempt failed, "" before the first failure
  * @timer: connection timeout, then the deadline
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -168,7 +168,7 @@
     update_call_tree (proxy, &proxy->demands[i]);
   /* The next call to each service computes its overflow again. */
   proxy->overflow_count = 0;
-  proxy->planned_us = jl_now ();
+  proxy->plans_computed_us = jl_now ();
   for (unsigned i = 0; i < proxy->demand_count; i++)
     proxy->demands[i].plan
         = jl_plan_compute (&proxy->roster, proxy->demands, proxy->demand_count,
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -87,7 +87,7 @@
 bool
 jl_proxy_is_ending (const struct jl_proxy *proxy)
 {
-  return proxy->stopping && jl_now () > proxy->stop_since_us + STOP_MIN_US;
+  return proxy->stopping && jl_now () > proxy->stop_began_us + STOP_MIN_US;
 }
 
 /* Returns the number of requests that may run at a target with @slots. */
@@ -319,7 +319,7 @@
 on_stop_timer (void *context, struct jl_timer *timer)
 {
   struct jl_proxy *proxy = context;
-  uint64_t age_us = jl_now () - proxy->stop_since_us;
+  uint64_t age_us = jl_now () - proxy->stop_began_us;
   bool idle
       = cds_list_empty (&proxy->calls) && cds_list_empty (&proxy->work_items);
 
@@ -348,7 +348,7 @@
   if (proxy->stopping)
     return;
   proxy->stopping = true;
-  proxy->stop_since_us = jl_now ();
+  proxy->stop_began_us = jl_now ();
   jl_record (JL_RECORD_CHANGE, JL_RECORD_STOPPING, "grace_ms=%" PRIu64,
              proxy->options->grace_us / JL_USEC_PER_MSEC);
   jl_server_close_after_response (proxy->entry);
--- a/source/proxy/proxy.h
+++ b/source/proxy/proxy.h
@@ -114,7 +114,8 @@
  * @self: this daemon in @roster
  * @lane: queue in front of the local target
  * @demands: demand and admission plan of each route used by clients
- * @planned_us: monotonic time at which the plans of @demands were computed
+ * @plans_computed_us: monotonic time at which the plans of @demands were
+ *                     computed
  * @call_routes: keys of the routes that carry calls of the local target
  * @overflows: overflow plan of each service that the local target calls
  * @calls: requests in progress at the entry, of struct jl_call
@@ -122,16 +123,16 @@
  * @leave_requests: leave announcements of the target, answered once the store
  *                  has acknowledged the row that records them
  * @departed_revision_sent: value of the target's departed_revision that was
- * last handed to the store client
+ *                          last handed to the store client
  * @departed_row_acknowledged: the store has acknowledged the latest row
  * @window_count: number of control windows since the start
  * @epoch: wall clock at the start in microseconds; distinguishes incarnations
  *         of this daemon
  * @started_us: monotonic clock at the start
- * @stop_since_us: monotonic time at which the graceful shutdown began
+ * @stop_began_us: monotonic time at which the graceful shutdown began
  * @stopping: a graceful shutdown has begun
  * @guard_closed: the graceful shutdown has progressed so far that the local
- * target receives no further work
+ *                target receives no further work
  */
 struct jl_proxy
 {
@@ -155,7 +156,7 @@
   struct jl_fanout fanout;
   unsigned demand_count;
   struct jl_demand demands[JL_DEMAND_ROUTES_MAX];
-  uint64_t planned_us;
+  uint64_t plans_computed_us;
   unsigned call_route_count;
   uint32_t call_routes[JL_ARRIVAL_ROUTES_MAX];
   unsigned overflow_count;
@@ -183,7 +184,7 @@
   unsigned window_count;
   uint64_t epoch;
   uint64_t started_us;
-  uint64_t stop_since_us;
+  uint64_t stop_began_us;
   bool stopping;
   bool guard_closed;
   int exit_status;
--- a/source/proxy/rows.c
+++ b/source/proxy/rows.c
@@ -128,13 +128,13 @@
 }
 
 static void
-on_reachability (void *context, bool reached, const char *why)
+on_reachability (void *context, bool reachable, const char *why)
 {
   const struct jl_proxy *proxy = context;
 
   jl_record (JL_RECORD_CHANGE, JL_RECORD_STORE_REACHABILITY,
-             "reached=%d cause=\"%s\" site=%" PRIx64, reached,
-             reached ? "answered" : why,
+             "reached=%d cause=\"%s\" site=%" PRIx64, reachable,
+             reachable ? "answered" : why,
              proxy->site != NULL ? proxy->site->version : 0);
 }
 
