--- a/source/policy/load-shedder.h
+++ b/source/policy/load-shedder.h
@@ -5,11 +5,12 @@
  * DOC: Computes the share of the demand for a target that entries should
  * refuse.
  *
- * It keeps the demand within the target's capacity. The arrivals of a window
- * are the demand times the share that was admitted a few windows ago. Dividing
- * by that share gives the whole demand. The demand and the target's capacity
- * (its limit divided by the time for which a request holds a slot) give the
- * share to refuse. A long queue reduces the capacity until the queue is short.
+ * Shedding keeps the admitted load within the target's capacity. The arrivals
+ * of a window are the demand times the share that was admitted a few windows
+ * ago. Dividing by that share gives the whole demand. The demand and the
+ * target's capacity (its limit divided by the time for which a request holds a
+ * slot) give the share to refuse. A long queue reduces the capacity until the
+ * queue is short.
  */
 
 #include "jackdawladder/base.h"
@@ -17,31 +18,32 @@
 /* Length of a control window. */
 #define JL_CONTROL_WINDOW_US (100 * JL_USEC_PER_MSEC)
 
-/* Windows until a refusal at an entry lowers the arrivals at a target deep in
- * the call graph. */
+/* Number of windows until a refusal at an entry lowers the arrivals at a target
+ * deep in the call graph. */
 #define JL_CONTROL_DELAY_WINDOWS 3
 
 /**
  * struct jl_load_shedder - state for one target
- * @shed: share of the demand that entries should refuse, 0 to 1
+ * @shed_share: share of the demand that entries should refuse, 0 to 1
  * @spare_share: share of the capacity that is free for other zones, 0 to 1
  * @hold_us: exponential moving average of the time for which a request holds a
  *           slot
- * @rate: arrivals a second, exponential moving average
- * @admitted: admitted share of the demand, averaged like @rate
- * @history: ring of the admitted shares of past windows that do not show in
- *           @rate yet
+ * @arrival_rate: exponential moving average of the arrivals a second
+ * @admitted_share: admitted share of the demand, averaged like @arrival_rate
+ * @admitted_history: ring of the admitted shares of past windows that do not
+ *                    show in
+ *           @arrival_rate yet
  * @window: number of windows so far
  * @arrivals: arrivals in this window
  */
 struct jl_load_shedder
 {
-  double shed;
+  double shed_share;
   double spare_share;
   double hold_us;
-  double rate;
-  double admitted;
-  double history[JL_CONTROL_DELAY_WINDOWS];
+  double arrival_rate;
+  double admitted_share;
+  double admitted_history[JL_CONTROL_DELAY_WINDOWS];
   unsigned window;
   unsigned arrivals;
 };
@@ -55,10 +57,10 @@
 
 /**
  * jl_load_shedder_record_hold - records that a request held its slot for
- * @held_us
+ * @hold_us
  */
 void jl_load_shedder_record_hold (struct jl_load_shedder *shedder,
-                                  uint64_t held_us);
+                                  uint64_t hold_us);
 
 /**
  * jl_load_shedder_end_window - updates the shares at the end of a control
--- a/source/proxy/entry.c
+++ b/source/proxy/entry.c
@@ -1,10 +1,10 @@
 /**
- * DOC: The entry: requests of clients and of the own target.
+ * DOC: The entry: requests of clients and of the local target.
  *
  * The entry sends each request to the daemon of one target. It sends the
  * request to another daemon only if the first target cannot have run it, or if
  * the request is idempotent and the retry budget allows a retry. The entry
- * answers the client as soon as no further attempt is possible.
+ * responds to the client as soon as no further attempt is possible.
  */
 
 #include "proxy/proxy.h"
@@ -17,17 +17,17 @@
 #include <string.h>
 
 /* Maximum size of a request's body that is buffered for a further attempt. */
-#define KEPT_BODY_BYTES_MAX 262144u
+#define BUFFERED_BODY_BYTES_MAX 262144u
 /* Timeout for sending the first byte of a request to a daemon. */
 #define CONNECT_TIMEOUT_US (250 * JL_USEC_PER_MSEC)
-/* Status of a target's answer when the request's deadline has passed. */
+/* Status of a target's response when the request's deadline has passed. */
 #define STATUS_GATEWAY_TIMEOUT 504
 
 static void place_call (struct jl_call *call);
 
-/* Returns NULL if @relay is NULL, as the data of an answered request is. */
+/* Returns NULL if @relay is NULL: a request has no data once it is answered. */
 static struct jl_call *
-call_of (struct jl_relay *relay)
+call_from_relay (struct jl_relay *relay)
 {
   return relay != NULL ? caa_container_of (relay, struct jl_call, relay) : NULL;
 }
@@ -35,7 +35,7 @@
 static bool
 can_place_again (const struct jl_call *call)
 {
-  return call->tried_count < JL_PLACEMENTS_MAX && !call->body_dropped
+  return call->tried_count < JL_PLACEMENTS_MAX && !call->body_not_buffered
          && jl_now () < call->expires_us;
 }
 
@@ -46,7 +46,7 @@
   jl_record (JL_RECORD_FAILURE, JL_RECORD_REQUEST_PLACED_AGAIN,
              "id=%s route=%s reason=%s member=%s arrivals=%u age_ms=%" PRIu64,
              jl_call_attempt_id (call), call->route->name, reason,
-             call->tried[call->tried_count - 1]->name, call->arrivals,
+             call->tried[call->tried_count - 1]->name, call->targets_reached,
              jl_call_age_ms (call));
   g_strlcpy (call->reason, reason, sizeof call->reason);
   place_call (call);
@@ -69,27 +69,28 @@
 static void
 handle_target_refused (struct jl_call *call, const char *reason)
 {
-  call->arrivals++;
+  call->targets_reached++;
   jl_call_cancel_upstream (call);
-  if (call->arrivals < call->route->attempts_max && can_place_again (call)
+  if (call->targets_reached < call->route->attempts_max
+      && can_place_again (call)
       && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
   else
     jl_call_give_up (call, reason);
 }
 
-/* Handles an attempt that ended without an answer although a target may have
+/* Handles an attempt that ended without a response although a target may have
  * run the request. Only idempotent requests are retried. */
 static void
 handle_unknown_outcome (struct jl_call *call, const char *reason)
 {
-  bool repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
+  bool idempotent = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
                     || JL_TEST_DISABLED ("once");
 
-  call->arrivals++;
+  call->targets_reached++;
   call->may_have_run = true;
   jl_call_cancel_upstream (call);
-  if (repeatable && call->arrivals < call->route->attempts_max
+  if (idempotent && call->targets_reached < call->route->attempts_max
       && can_place_again (call)
       && jl_demand_spend_retry (call->proxy, call->site, call->route))
     place_again (call, reason);
@@ -98,12 +99,12 @@
 }
 
 static void
-note_served (struct jl_call *call, unsigned status)
+record_served (struct jl_call *call, unsigned status)
 {
   struct jl_proxy *proxy = call->proxy;
 
   if (status >= 500 && call->from_target)
-    jl_failure_rate_count_failed_call (&proxy->failing);
+    jl_failure_rate_count_failed_call (&proxy->failure_rate);
   proxy->counters.served++;
   jl_histogram_add (&proxy->counters.request_time, jl_now () - call->begun_us);
   if (jl_record_allowed (JL_RECORD_SUCCESS))
@@ -115,27 +116,27 @@
 }
 
 static void
-finish_answer (struct jl_call *call)
+finish_response (struct jl_call *call)
 {
   struct jl_request *request = call->relay.request;
 
-  note_served (call, jl_upstream_head (call->relay.upstream)->status);
+  record_served (call, jl_upstream_head (call->relay.upstream)->status);
   jl_request_set_data (request, NULL);
   jl_call_free (call);
   jl_request_end_response (request);
 }
 
 static void
-start_answer (struct jl_call *call)
+start_response (struct jl_call *call)
 {
-  if (jl_relay_start_answer (&call->relay))
-    finish_answer (call);
+  if (jl_relay_start_response (&call->relay))
+    finish_response (call);
 }
 
 /*
- * Whether a request that the target answered with a server error is retried. If
- * so, discards the answer and takes the retry from the budget. A request past
- * its deadline is not retried.
+ * Whether a request to which the target responded with a server error is
+ * retried. If so, discards the response and takes the retry from the budget. A
+ * request past its deadline is not retried.
  */
 static bool
 prepare_failure_retry (struct jl_call *call)
@@ -143,20 +144,20 @@
   if (call->route->retry_policy != JL_RETRY_POLICY_IDEMPOTENT
       || jl_upstream_head (call->relay.upstream)->status
              == STATUS_GATEWAY_TIMEOUT
-      || call->arrivals + 1 >= call->route->attempts_max
+      || call->targets_reached + 1 >= call->route->attempts_max
       || !can_place_again (call)
       || !jl_demand_spend_retry (call->proxy, call->site, call->route))
     return false;
-  call->arrivals++;
+  call->targets_reached++;
   call->may_have_run = true;
   jl_call_cancel_upstream (call);
   return true;
 }
 
 static void
-on_answer (void *context, struct jl_upstream *upstream)
+on_response (void *context, struct jl_upstream *upstream)
 {
-  struct jl_call *call = call_of (context);
+  struct jl_call *call = call_from_relay (context);
   const struct jl_head *head = jl_upstream_head (upstream);
   const char *outcome = jl_head_get (head, JL_OUTCOME_FIELD);
   const char *field = jl_head_get (head, JL_REASON_FIELD);
@@ -166,7 +167,7 @@
   if (outcome == NULL && head->status >= 500 && prepare_failure_retry (call))
     place_again (call, "target-failed");
   else if (outcome == NULL)
-    start_answer (call);
+    start_response (call);
   else if (strcmp (outcome, "not-run") != 0)
     handle_unknown_outcome (call, reason);
   else if (strcmp (reason, "target-refused") == 0)
@@ -181,14 +182,14 @@
 }
 
 static void
-on_done (void *context, struct jl_upstream *upstream)
+on_complete (void *context, struct jl_upstream *upstream)
 {
   (void)upstream;
-  finish_answer (call_of (context));
+  finish_response (call_from_relay (context));
 }
 
-/* Ends a request whose answer broke off after its head was passed on. Closes
- * the client's connection, so that the client sees that the answer is
+/* Ends a request whose response broke off after its head was passed on. Closes
+ * the client's connection, so that the client sees that the response is
  * incomplete. */
 static void
 abort_call (struct jl_call *call)
@@ -210,10 +211,10 @@
            struct jl_upstream *upstream,
            enum jl_upstream_failure failure)
 {
-  struct jl_call *call = call_of (context);
+  struct jl_call *call = call_from_relay (context);
 
   (void)upstream;
-  if (call->relay.answer_started)
+  if (call->relay.response_started)
     {
       abort_call (call);
       return;
@@ -226,9 +227,9 @@
 }
 
 static const struct jl_upstream_ops upstream_ops = {
-  .response = on_answer,
-  .body = jl_relay_on_piece,
-  .complete = on_done,
+  .response = on_response,
+  .body = jl_relay_on_response_body,
+  .complete = on_complete,
   .drained = jl_relay_on_drained,
   .failed = on_failed,
 };
@@ -245,7 +246,7 @@
 {
   struct jl_call *call = context;
 
-  if (call->relay.answer_started)
+  if (call->relay.response_started)
     return;
   if (jl_now () >= call->expires_us && !JL_TEST_DISABLED ("deadline"))
     {
@@ -268,10 +269,12 @@
   const struct jl_head *head = jl_request_head (call->relay.request);
   struct jl_work_header work = {
     .rank = call->route->rank,
-    .left_ms = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
-    .goal_ms = (unsigned)(call->route->latency_goal_us / JL_USEC_PER_MSEC),
-    .route = call->route->key,
-    .repeatable = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT,
+    .remaining_ms
+    = (unsigned)((call->expires_us - jl_now ()) / JL_USEC_PER_MSEC),
+    .latency_goal_ms
+    = (unsigned)(call->route->latency_goal_us / JL_USEC_PER_MSEC),
+    .route_key = call->route->key,
+    .idempotent = call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT,
   };
   GString *text;
 
@@ -302,7 +305,7 @@
   call->tried[call->tried_count++] = member;
   call->member = member;
   member->outstanding++;
-  if (strcmp (member->zone, proxy->roster.own_zone) != 0)
+  if (strcmp (member->zone, proxy->roster.local_zone) != 0)
     proxy->counters.other_zone++;
   if (!open_upstream (call))
     {
@@ -313,7 +316,7 @@
   jl_timer_start (proxy->loop->timers, &call->timer,
                   MIN (call->expires_us, now_us + CONNECT_TIMEOUT_US), on_timer,
                   call);
-  jl_relay_send_kept_body (&call->relay);
+  jl_relay_send_buffered_body (&call->relay);
 }
 
 /* Chooses a service at random, by the weights of the route's split. */
@@ -368,7 +371,7 @@
 {
   struct jl_proxy *proxy = call->proxy;
   struct jl_demand *demand = jl_demand_track (proxy, call->route);
-  struct jl_retry_budget_policy terms = jl_demand_retry_policy (proxy);
+  struct jl_retry_budget_policy policy = jl_demand_retry_policy (proxy);
   struct jl_retry_budget *budget
       = jl_demand_retry_budget (proxy, call->service);
 
@@ -379,7 +382,7 @@
       return;
     }
   if (budget != NULL)
-    jl_retry_budget_count_request (budget, &terms, jl_now ());
+    jl_retry_budget_count_request (budget, &policy, jl_now ());
   if (demand != NULL)
     {
       demand->window_requests++;
@@ -400,7 +403,7 @@
   jl_relay_init (&call->relay, request);
   call->begun_us = jl_now ();
   call->expires_us = call->begun_us + JL_USEC_PER_SEC;
-  call->zone = proxy->roster.own_zone;
+  call->zone = proxy->roster.local_zone;
   cds_list_add_tail (&call->link, &proxy->calls);
   return call;
 }
@@ -427,12 +430,12 @@
                  "id=%s reason=no-route host=%s target=%.80s site=%" PRIx64,
                  jl_call_attempt_id (call), host != NULL ? host : "-",
                  jl_head_target (head), call->site->version);
-      jl_call_answer (call, 404, "", "no-route");
+      jl_call_respond (call, 404, "", "no-route");
       return;
     }
   if (head->has_length && head->length > call->site->body_bytes_max)
     {
-      jl_call_answer (call, 413, "", "too-large");
+      jl_call_respond (call, 413, "", "too-large");
       return;
     }
   call->service = choose_service (call->route);
@@ -451,32 +454,32 @@
          const char *data,
          size_t size)
 {
-  struct jl_call *call = call_of (jl_request_data (request));
+  struct jl_call *call = call_from_relay (jl_request_data (request));
 
   (void)context;
-  if (call == NULL || call->relay.answer_started)
+  if (call == NULL || call->relay.response_started)
     return;
   call->body_bytes += size;
   if (call->body_bytes > call->site->body_bytes_max)
     {
-      jl_call_answer (call, 413, "", "too-large");
+      jl_call_respond (call, 413, "", "too-large");
       return;
     }
-  if (call->relay.kept_body->len + size <= KEPT_BODY_BYTES_MAX
-      && !call->body_dropped)
-    g_byte_array_append (call->relay.kept_body, (const guint8 *)data,
+  if (call->relay.buffered_body->len + size <= BUFFERED_BODY_BYTES_MAX
+      && !call->body_not_buffered)
+    g_byte_array_append (call->relay.buffered_body, (const guint8 *)data,
                          (guint)size);
   else
-    call->body_dropped = true;
+    call->body_not_buffered = true;
   if (call->relay.upstream == NULL)
     return;
   jl_relay_send_body (&call->relay, data, size);
 }
 
 static void
-on_gone (void *context, struct jl_request *request)
+on_disconnected (void *context, struct jl_request *request)
 {
-  struct jl_call *call = call_of (jl_request_data (request));
+  struct jl_call *call = call_from_relay (jl_request_data (request));
 
   (void)context;
   if (call == NULL)
@@ -495,7 +498,7 @@
   .body = on_body,
   .end = jl_relay_on_end,
   .drained = jl_relay_on_client_drained,
-  .disconnected = on_gone,
+  .disconnected = on_disconnected,
 };
 
 void
@@ -507,7 +510,7 @@
 
   cds_list_for_each_entry_safe (
       call, next, &proxy->calls,
-      link) if (call->member != NULL && !call->relay.answer_started
+      link) if (call->member != NULL && !call->relay.response_started
                 && call->route->retry_policy == JL_RETRY_POLICY_IDEMPOTENT
                 && !jl_member_is_alive (call->member, now_us))
       handle_unknown_outcome (call, "member-silent");
--- a/source/proxy/plan.c
+++ b/source/proxy/plan.c
@@ -8,14 +8,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Runs at a service for each request from which on the request is refused if
- * the service has no target. */
+/* A request is refused if it causes at least this mean number of runs at a
+ * service that has no target. */
 #define RUNS_REQUIRED_MIN 0.7
 /* Cost of a failed request, in messages that cross zones. */
 #define FAILURE_COST 10.0
 /* Failure rate up to which requests aren't moved to another zone. */
 #define FAILURE_RATE_IGNORED 0.04
-/* Spare share of the capacity from which on another zone accepts all requests
+/* Spare share of the capacity at which another zone accepts all requests
  * offered to it. */
 #define SPARE_SHARE_FULL 0.25
 /* Smallest difference of the shares admitted, or refused, in two zones at which
@@ -27,8 +27,9 @@
 
 /**
  * struct supply - announced state of some targets of a service
- * @capacity: sum of their capacities; the limit where that is not known
- * @shed: mean share of the demand to refuse, weighted by capacity
+ * @capacity: sum of their capacities; the limit is used where the capacity is
+ *            not known
+ * @shed_share: mean share of the demand to refuse, weighted by capacity
  * @spare_share: mean spare share, weighted by capacity
  * @failure_rate: mean failure rate, weighted by capacity
  * @targets: number of targets that accept work
@@ -36,7 +37,7 @@
 struct supply
 {
   double capacity;
-  double shed;
+  double shed_share;
   double spare_share;
   double failure_rate;
   unsigned targets;
@@ -64,13 +65,13 @@
         weight = member->capacity;
       supply.targets++;
       supply.capacity += weight;
-      supply.shed += weight * member->shed;
+      supply.shed_share += weight * member->shed_share;
       supply.spare_share += weight * member->spare_share;
       supply.failure_rate += weight * member->failure_rate;
     }
   if (supply.targets == 0)
     return supply;
-  supply.shed /= supply.capacity;
+  supply.shed_share /= supply.capacity;
   supply.spare_share /= supply.capacity;
   supply.failure_rate /= supply.capacity;
   return supply;
@@ -99,7 +100,7 @@
     return a->rank < b->rank;
   if (a_runs != b_runs)
     return a_runs < b_runs;
-  return a->route < b->route;
+  return a->route_key < b->route_key;
 }
 
 /*
@@ -113,7 +114,8 @@
                 const char *service,
                 double shed)
 {
-  double own = demand->rate * jl_call_tree_runs (&demand->tree, service);
+  double demand_load
+      = demand->rate * jl_call_tree_runs (&demand->tree, service);
   double preceding = 0;
   double total = 0;
 
@@ -127,9 +129,9 @@
           && has_precedence (&demands[i], demand, service))
         preceding += load;
     }
-  if (own <= 0)
+  if (demand_load <= 0)
     return 1 - shed;
-  return CLAMP (((1 - shed) * total - preceding) / own, 0, 1);
+  return CLAMP (((1 - shed) * total - preceding) / demand_load, 0, 1);
 }
 
 /**
@@ -194,14 +196,14 @@
       if (supply->targets == 0
           && demand->tree.nodes[i].runs >= RUNS_REQUIRED_MIN)
         admit_share = 0;
-      else if (supply->shed > 0)
+      else if (supply->shed_share > 0)
         admit_share = admitted_share (demands, demand_count, demand, service,
-                                      supply->shed);
+                                      supply->shed_share);
       if (admit_share >= plan->admit_share)
         continue;
       plan->admit_share = admit_share;
       plan->limiting_service = service;
-      plan->shed = supply->shed;
+      plan->shed_share = supply->shed_share;
     }
 }
 
@@ -216,7 +218,7 @@
            uint64_t now_us)
 {
   struct location locations[JL_CALL_TREE_NODES_MAX];
-  double crossings = strcmp (zone, roster->own_zone) != 0 ? 1 : 0;
+  double crossings = strcmp (zone, roster->local_zone) != 0 ? 1 : 0;
   double success = 1;
 
   locate_runs (roster, &demand->tree, zone, now_us, locations);
@@ -247,7 +249,7 @@
       struct supply supply
           = zone_supply (roster, demand->tree.nodes[i].service, zone, now_us);
 
-      if (supply.targets == 0 || supply.shed > 0)
+      if (supply.targets == 0 || supply.shed_share > 0)
         return 0;
       accepted = MIN (accepted, supply.spare_share / SPARE_SHARE_FULL);
     }
@@ -289,14 +291,14 @@
   return NULL;
 }
 
-/* Returns the zone in which a request costs least. The own zone is preferred at
- * equal cost. */
+/* Returns the zone in which a request costs least. The local zone is preferred
+ * at equal cost. */
 static const char *
 cheapest_zone (const struct jl_roster *roster,
                const struct jl_demand *demand,
                uint64_t now_us)
 {
-  const char *best = roster->own_zone;
+  const char *best = roster->local_zone;
   double best_cost = zone_cost (roster, demand, best, now_us);
   double best_accepted = 0;
   const char *zone;
@@ -373,7 +375,7 @@
 }
 
 /* Plans where the requests go that are not admitted in the plan's zone: to a
- * zone with spare capacity, or to one that refuses less. */
+ * zone with spare capacity, or to a zone that refuses less. */
 static void
 plan_overflow (struct jl_plan *plan,
                const struct jl_roster *roster,
@@ -422,18 +424,20 @@
   return draw < plan->other_zone_share ? plan->other_zone : NULL;
 }
 
-/* Returns the share of the own zone's calls that should go to a zone with the
+/* Returns the share of the local zone's calls that should go to a zone with the
  * supply @other. */
 static double
-overflow_share (const struct supply *own, const struct supply *other)
+overflow_share (const struct supply *local, const struct supply *other)
 {
   double accepted = MIN (1, other->spare_share / SPARE_SHARE_FULL);
 
   if (other->targets == 0)
     return 0;
-  if (other->shed <= 0)
-    return MIN (1, OVERFLOW_GAIN * own->shed) * accepted;
-  return own->shed - other->shed < DIFFERENCE_MIN ? 0 : own->shed - other->shed;
+  if (other->shed_share <= 0)
+    return MIN (1, OVERFLOW_GAIN * local->shed_share) * accepted;
+  return local->shed_share - other->shed_share < DIFFERENCE_MIN
+             ? 0
+             : local->shed_share - other->shed_share;
 }
 
 struct jl_overflow
@@ -442,15 +446,16 @@
                      uint64_t now_us)
 {
   struct jl_overflow overflow = { .service = g_intern_string (service) };
-  struct supply own = zone_supply (roster, service, roster->own_zone, now_us);
+  struct supply local
+      = zone_supply (roster, service, roster->local_zone, now_us);
   const char *zone;
   guint index = 0;
 
-  while (own.shed > 0
-         && (zone = next_zone (roster, roster->own_zone, &index)) != NULL)
+  while (local.shed_share > 0
+         && (zone = next_zone (roster, roster->local_zone, &index)) != NULL)
     {
       struct supply other = zone_supply (roster, service, zone, now_us);
-      double share = overflow_share (&own, &other);
+      double share = overflow_share (&local, &other);
 
       if (share <= overflow.share)
         continue;
@@ -467,5 +472,5 @@
 {
   if (overflow->zone != NULL && draw < overflow->share)
     return overflow->zone;
-  return roster->own_zone;
+  return roster->local_zone;
 }
--- a/source/proxy/proxy.c
+++ b/source/proxy/proxy.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Start, control windows, planned stop and reload of the proxy.
+ * DOC: Start, control windows, graceful shutdown and reload of the proxy.
  */
 
 #include "proxy/proxy.h"
@@ -13,11 +13,12 @@
 #include <signal.h>
 #include <string.h>
 
-/* Maximum idle time after which a connection to a daemon or to the own target
- * is reused. */
+/* Maximum idle time of a reused connection to a daemon, and to the local
+ * target.
+ */
 #define PEER_IDLE_MAX_US (20 * JL_USEC_PER_SEC)
 #define TARGET_IDLE_MAX_US (5 * JL_USEC_PER_SEC)
-/* Idle timeout of connections accepted from daemons, from the own target and
+/* Idle timeout of connections accepted from daemons, from the local target and
  * for readiness checks. It is longer than the times above, so that the client
  * side closes an idle connection first. */
 #define SERVER_IDLE_TIMEOUT_US (60 * JL_USEC_PER_SEC)
@@ -32,17 +33,17 @@
 #define SWEEP_PERIOD_US (500 * JL_USEC_PER_MSEC)
 /* Period of checks for changed settings. */
 #define RELOAD_PERIOD_US (2 * JL_USEC_PER_SEC)
-/* Minimum time for which requests are served after the start of a planned stop,
- * as clients learn of it only after a delay. */
+/* Minimum time for which requests are served after the start of a graceful
+ * shutdown, as clients learn of it only after a delay. */
 #define STOP_MIN_US (2500 * JL_USEC_PER_MSEC)
-/* Time for which the own target still receives work after the start of a
- * planned stop. It is shorter than STOP_MIN_US, so that this work completes
- * within STOP_MIN_US. */
+/* Time for which the local target still receives work after the start of a
+ * graceful shutdown. It is shorter than STOP_MIN_US, so that this work
+ * completes within STOP_MIN_US. */
 #define GUARD_OPEN_US (1700 * JL_USEC_PER_MSEC)
 /* Time before the end of the grace period at which the process exits although
  * requests are in progress. */
 #define STOP_MARGIN_US (400 * JL_USEC_PER_MSEC)
-/* Period of checks whether a planned stop is complete. */
+/* Period of checks whether a graceful shutdown is complete. */
 #define STOP_CHECK_PERIOD_US (50 * JL_USEC_PER_MSEC)
 /* Time after the start at which a daemon becomes ready even if it receives no
  * beacons of other daemons. */
@@ -74,7 +75,7 @@
 }
 
 bool
-jl_proxy_ready (const struct jl_proxy *proxy)
+jl_proxy_is_ready (const struct jl_proxy *proxy)
 {
   uint64_t now_us = jl_now ();
 
@@ -86,7 +87,7 @@
 bool
 jl_proxy_is_ending (const struct jl_proxy *proxy)
 {
-  return proxy->stopping && jl_now () > proxy->stop_since_us + STOP_MIN_US;
+  return proxy->stopping && jl_now () > proxy->stop_began_us + STOP_MIN_US;
 }
 
 /* Returns the number of requests that may run at a target with @slots. */
@@ -98,7 +99,7 @@
   return slots > unused ? slots - unused : 1;
 }
 
-/* Copies the own state into this daemon's entry of the roster. */
+/* Copies the local state into this daemon's entry of the roster. */
 static void
 update_self (struct jl_proxy *proxy)
 {
@@ -113,10 +114,10 @@
     self->state = JL_TARGET_LEAVING;
   self->limit = proxy->lane.limit;
   self->capacity
-      = jl_load_shedder_capacity (&proxy->pressure, proxy->lane.limit);
-  self->shed = proxy->pressure.shed;
-  self->spare_share = proxy->pressure.spare_share;
-  self->failure_rate = jl_failure_rate_get (&proxy->failing);
+      = jl_load_shedder_capacity (&proxy->load_shedder, proxy->lane.limit);
+  self->shed_share = proxy->load_shedder.shed_share;
+  self->spare_share = proxy->load_shedder.spare_share;
+  self->failure_rate = jl_failure_rate_get (&proxy->failure_rate);
   self->last_beacon_us = jl_now ();
 }
 
@@ -196,30 +197,31 @@
 static void
 log_shed (struct jl_proxy *proxy, double before)
 {
-  const struct jl_load_shedder *pressure = &proxy->pressure;
+  const struct jl_load_shedder *shedder = &proxy->load_shedder;
 
-  if ((before > 0) == (pressure->shed > 0) && proxy->window_count % 10 != 0)
+  if ((before > 0) == (shedder->shed_share > 0)
+      && proxy->window_count % 10 != 0)
     return;
-  if (before <= 0 && pressure->shed <= 0)
+  if (before <= 0 && shedder->shed_share <= 0)
     return;
   jl_record (JL_RECORD_CHANGE, JL_RECORD_SHED_SHARE,
              "shed=%.3f before=%.3f rate=%.0f capacity=%.0f running=%u "
              "waiting=%u limit=%u hold_ms=%.1f",
-             pressure->shed, before, pressure->rate,
-             jl_load_shedder_capacity (pressure, proxy->lane.limit),
+             shedder->shed_share, before, shedder->arrival_rate,
+             jl_load_shedder_capacity (shedder, proxy->lane.limit),
              proxy->lane.running, proxy->lane.waiting, proxy->lane.limit,
-             pressure->hold_us / 1000);
+             shedder->hold_us / 1000);
 }
 
 static void
 on_control_timer (void *context, struct jl_timer *timer)
 {
   struct jl_proxy *proxy = context;
-  double before = proxy->pressure.shed;
+  double before = proxy->load_shedder.shed_share;
 
   proxy->window_count++;
-  jl_failure_rate_decay (&proxy->failing);
-  jl_load_shedder_end_window (&proxy->pressure, proxy->lane.limit,
+  jl_failure_rate_decay (&proxy->failure_rate);
+  jl_load_shedder_end_window (&proxy->load_shedder, proxy->lane.limit,
                               proxy->lane.waiting);
   if (proxy->window_count % FANOUT_PERIOD_WINDOWS == 0)
     {
@@ -258,8 +260,8 @@
          && a->announce.port == b->announce.port;
 }
 
-/* Reads the settings again. @requested: by a signal, so that unchanged settings
- * are logged too. */
+/* Reloads the settings. @requested: a signal requested the reload, so unchanged
+ * settings are logged too. */
 static void
 reload (struct jl_proxy *proxy, bool requested)
 {
@@ -303,7 +305,7 @@
                        proxy);
 }
 
-/* Announces that the target takes no more work, as the daemon is about to
+/* Announces that the target takes no more work, because the daemon is about to
  * exit. */
 static void
 close_guard (struct jl_proxy *proxy)
@@ -317,7 +319,7 @@
 on_stop_timer (void *context, struct jl_timer *timer)
 {
   struct jl_proxy *proxy = context;
-  uint64_t age_us = jl_now () - proxy->stop_since_us;
+  uint64_t age_us = jl_now () - proxy->stop_began_us;
   bool idle
       = cds_list_empty (&proxy->calls) && cds_list_empty (&proxy->work_items);
 
@@ -338,15 +340,15 @@
                        proxy);
 }
 
-/* Begins a planned stop. The entry closes each connection after its answer, so
- * that clients reconnect to other daemons. */
+/* Begins a graceful shutdown. The entry closes each connection after its
+ * response, so that clients reconnect to other daemons. */
 static void
 begin_stop (struct jl_proxy *proxy)
 {
   if (proxy->stopping)
     return;
   proxy->stopping = true;
-  proxy->stop_since_us = jl_now ();
+  proxy->stop_began_us = jl_now ();
   jl_record (JL_RECORD_CHANGE, JL_RECORD_STOPPING, "grace_ms=%" PRIu64,
              proxy->options->grace_us / JL_USEC_PER_MSEC);
   jl_server_close_after_response (proxy->entry);
@@ -428,17 +430,17 @@
 }
 
 static void
-init_parts (struct jl_proxy *proxy)
+init_modules (struct jl_proxy *proxy)
 {
   const struct jl_options *options = proxy->options;
 
   CDS_INIT_LIST_HEAD (&proxy->calls);
   CDS_INIT_LIST_HEAD (&proxy->work_items);
   jl_lane_init (&proxy->lane);
-  jl_load_shedder_init (&proxy->pressure);
+  jl_load_shedder_init (&proxy->load_shedder);
   jl_fanout_init (&proxy->fanout);
   jl_roster_init (&proxy->roster, options->zone);
-  proxy->self = jl_roster_member (&proxy->roster, options->name);
+  proxy->self = jl_roster_get_or_add (&proxy->roster, options->name);
   proxy->self->peer = options->advertise;
   g_strlcpy (proxy->self->zone, options->zone, JL_TEXT_SIZE);
   proxy->loop = jl_loop_new ();
@@ -459,7 +461,7 @@
   proxy->options_path = path;
   proxy->epoch = (uint64_t)g_get_real_time ();
   proxy->started_us = jl_now ();
-  init_parts (proxy);
+  init_modules (proxy);
   if (!open_sockets (proxy, &why))
     {
       jl_record (JL_RECORD_CHANGE, JL_RECORD_STOPPED, "cause=\"%s\"", why);
--- a/source/proxy/relay.h
+++ b/source/proxy/relay.h
@@ -16,17 +16,17 @@
  * struct jl_relay - a request and its upstream request
  * @request: request received from the client or the entry
  * @upstream: current upstream request, NULL while there is none
- * @kept_body: buffered part of the request's body
+ * @buffered_body: buffered part of the request's body
  * @chunked: the request's body uses chunked transfer encoding
- * @answer_started: the head of the answer has been passed on
+ * @response_started: the head of the response has been passed on
  */
 struct jl_relay
 {
   struct jl_request *request;
   struct jl_upstream *upstream;
-  GByteArray *kept_body;
+  GByteArray *buffered_body;
   bool chunked;
-  bool answer_started;
+  bool response_started;
 };
 
 /**
@@ -45,32 +45,32 @@
 void jl_relay_cancel_upstream (struct jl_relay *relay);
 
 /**
- * jl_relay_start_answer - passes on the head of the answer and the part of its
- * body received so far
+ * jl_relay_start_response - passes on the head of the response and the part of
+ * its body received so far
  *
- * Return: whether the whole answer was passed on; the caller then has to finish
- * the request.
+ * Return: whether the whole response was passed on; the caller then has to
+ * finish the request.
  */
-bool jl_relay_start_answer (struct jl_relay *relay);
+bool jl_relay_start_response (struct jl_relay *relay);
 
 /**
- * jl_relay_send_body - passes on a piece of the request's body, and pauses the
+ * jl_relay_send_body - passes on a part of the request's body, and pauses the
  * sender if too much of it is not sent yet
  */
 void jl_relay_send_body (struct jl_relay *relay, const char *data, size_t size);
 
 /**
- * jl_relay_send_kept_body - sends the buffered body upstream, and ends it if
- * the whole request was read
+ * jl_relay_send_buffered_body - sends the buffered body upstream, and ends it
+ * if the whole request was read
  */
-void jl_relay_send_kept_body (struct jl_relay *relay);
+void jl_relay_send_buffered_body (struct jl_relay *relay);
 
 /* Members of struct jl_upstream_ops that entry and guard share. */
 
-void jl_relay_on_piece (void *context,
-                        struct jl_upstream *upstream,
-                        const char *data,
-                        size_t size);
+void jl_relay_on_response_body (void *context,
+                                struct jl_upstream *upstream,
+                                const char *data,
+                                size_t size);
 void jl_relay_on_drained (void *context, struct jl_upstream *upstream);
 
 /* Members of struct jl_handler that entry and guard share. */
--- a/source/proxy/roster.c
+++ b/source/proxy/roster.c
@@ -21,11 +21,11 @@
 #define OTHER_ZONE_KNOWN_TARGETS 6
 
 void
-jl_roster_init (struct jl_roster *roster, const char *own_zone)
+jl_roster_init (struct jl_roster *roster, const char *local_zone)
 {
   roster->members = g_ptr_array_new_with_free_func (g_free);
   roster->by_name = g_hash_table_new (g_str_hash, g_str_equal);
-  g_strlcpy (roster->own_zone, own_zone, sizeof roster->own_zone);
+  g_strlcpy (roster->local_zone, local_zone, sizeof roster->local_zone);
 }
 
 void
@@ -36,7 +36,7 @@
 }
 
 struct jl_member *
-jl_roster_member (struct jl_roster *roster, const char *name)
+jl_roster_get_or_add (struct jl_roster *roster, const char *name)
 {
   struct jl_member *member = g_hash_table_lookup (roster->by_name, name);
 
@@ -106,7 +106,7 @@
           || !jl_member_is_alive (member, now_us))
         continue;
       for (unsigned j = 0; j < member->arrivals.count; j++)
-        jl_arrivals_add (&sum, member->arrivals.list[j].route,
+        jl_arrivals_add (&sum, member->arrivals.list[j].route_key,
                          member->arrivals.list[j].count);
     }
   return sum;
@@ -129,7 +129,7 @@
 
 bool
 jl_roster_is_call_route (const struct jl_roster *roster,
-                         uint32_t route,
+                         uint32_t route_key,
                          uint64_t now_us)
 {
   for (guint i = 0; i < roster->members->len; i++)
@@ -140,7 +140,7 @@
       if (!is_first_of_service (roster, i))
         continue;
       arrivals = service_arrivals (roster, member->service, now_us);
-      if (jl_arrivals_is_route_absent (&arrivals, route))
+      if (jl_arrivals_is_route_absent (&arrivals, route_key))
         return true;
     }
   return false;
@@ -149,20 +149,20 @@
 unsigned
 jl_roster_alive_count (const struct jl_roster *roster, uint64_t now_us)
 {
-  unsigned heard = 0;
+  unsigned count = 0;
 
   for (guint i = 0; i < roster->members->len; i++)
     if (jl_member_is_alive (g_ptr_array_index (roster->members, i), now_us))
-      heard++;
-  return heard;
+      count++;
+  return count;
 }
 
 /* Counts the daemons in the zone of @self with targets of the same service,
  * itself included. */
 static unsigned
-count_own_zone_peers (const struct jl_roster *roster,
-                      const struct jl_member *self,
-                      uint64_t now_us)
+count_local_zone_peers (const struct jl_roster *roster,
+                        const struct jl_member *self,
+                        uint64_t now_us)
 {
   unsigned count = 0;
 
@@ -183,7 +183,7 @@
                           const struct jl_member *self,
                           uint64_t now_us)
 {
-  unsigned count = count_own_zone_peers (roster, self, now_us);
+  unsigned count = count_local_zone_peers (roster, self, now_us);
 
   return count <= OTHER_ZONE_KNOWN_TARGETS
              ? 1
--- a/source/proxy/rows.h
+++ b/source/proxy/rows.h
@@ -3,8 +3,8 @@
 
 /**
  * DOC: Rows of the platform's store that the daemon reads and writes: the
- * configuration, the endpoints of the daemons, and the incarnations of the own
- * target that have left.
+ * configuration, the endpoints of the daemons, and the incarnations of the
+ * local target that have left.
  */
 
 #include "proxy/proxy.h"
@@ -16,10 +16,10 @@
 void jl_rows_open (struct jl_proxy *proxy);
 
 /**
- * jl_rows_write_left - writes the incarnations of the own target that have
- * left, if the list has changed, so that this daemon knows them after a restart
+ * jl_rows_write_departed - writes the departed incarnations of the local target
+ * if the list has changed, so that this daemon knows them after a restart
  */
-void jl_rows_write_left (struct jl_proxy *proxy);
+void jl_rows_write_departed (struct jl_proxy *proxy);
 
 /**
  * jl_rows_update_polling - sets how this daemon polls the configuration;
