--- a/include/jackdawladder/core.h
+++ b/include/jackdawladder/core.h
@@ -111,9 +111,9 @@
 uint32_t jl_core_member_count (struct jl_core *core);
 
 /**
- * jl_core_mint_ticket - issues a ticket to a caller that requests one
+ * jl_core_issue_ticket - issues a ticket to a caller that requests one
  */
-struct jl_ticket jl_core_mint_ticket (struct jl_core *core);
+struct jl_ticket jl_core_issue_ticket (struct jl_core *core);
 
 /**
  * jl_core_status - appends a summary of the state as a JSON object
--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -14,7 +14,7 @@
 /**
  * enum jl_effect_type - type of an action
  * @JL_EFFECT_SEND: send a call to the guard of a target
- * @JL_EFFECT_FORWARD: forward a call to the daemon that minted its ticket
+ * @JL_EFFECT_FORWARD: forward a call to the daemon that issued its ticket
  * @JL_EFFECT_ANSWER: send the final answer to the originator of a call
  * @JL_EFFECT_CLAIM: claim a caller's idempotency key in the platform's table
  * @JL_EFFECT_RUN: send a work item to the local target
@@ -75,7 +75,7 @@
 };
 
 /**
- * struct jl_effect_forward - forward a call to the daemon that minted its
+ * struct jl_effect_forward - forward a call to the daemon that issued its
  * ticket
  * @peer: endpoint at which that daemon takes calls of other daemons
  * @tokens: retry tokens lent to the attempt
--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -98,7 +98,7 @@
 /**
  * enum jl_key_type - type of the idempotency key of a request
  * @JL_KEY_NONE: no key; a repetition counts as a new request
- * @JL_KEY_TICKET: a ticket that a daemon minted
+ * @JL_KEY_TICKET: a ticket that a daemon issued
  * @JL_KEY_CALLER: a key that the caller chose
  */
 enum jl_key_type
@@ -119,7 +119,7 @@
  * @ordinal: number of earlier calls of @kind that @parent made, or a number
  *           that the target assigned
  * @forwarded: whether another daemon forwarded the call to this one, which
- *             minted its ticket
+ *             issued its ticket
  * @attempt: attempt of the forwarding daemon, only with @forwarded
  * @key_type: type of the idempotency key
  * @ticket: ticket of the request, only with JL_KEY_TICKET
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -241,9 +241,9 @@
 }
 
 struct jl_ticket
-jl_core_mint_ticket (struct jl_core *core)
+jl_core_issue_ticket (struct jl_core *core)
 {
-  return jl_once_mint_ticket (core);
+  return jl_once_issue_ticket (core);
 }
 
 uint32_t
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -107,7 +107,7 @@
   if (call->parent == NULL)
     answer->tokens = call->tokens;
   if (call->parent == NULL && !call->forwarded)
-    answer->next_ticket = jl_once_mint_ticket (core);
+    answer->next_ticket = jl_once_issue_ticket (core);
   count_answer (core, call, outcome);
   free_call (core, call);
   return answer;
@@ -203,7 +203,7 @@
   call->tokens = kind->retry_tokens;
   call->tokens_initial = call->tokens;
   call->anchor = event->key_type == JL_KEY_TICKET ? event->ticket
-                                                  : jl_once_mint_ticket (core);
+                                                  : jl_once_issue_ticket (core);
 }
 
 static struct jl_call *
@@ -274,7 +274,7 @@
   struct jl_effect_claim *claim = &jl_emit (core, JL_EFFECT_CLAIM)->claim;
 
   call->state = JL_CALL_CLAIMING;
-  call->ticket = jl_once_mint_ticket (core);
+  call->ticket = jl_once_issue_ticket (core);
   claim->call = call->number;
   claim->key_hash = call->key_hash;
   claim->ticket = call->ticket;
--- a/source/core/entry.h
+++ b/source/core/entry.h
@@ -61,7 +61,7 @@
 void jl_entry_dispatch (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_entry_forward - forwards @call to the daemon that minted its ticket
+ * jl_entry_forward - forwards @call to the daemon that issued its ticket
  */
 void jl_entry_forward (struct jl_core *core, struct jl_call *call);
 
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -270,7 +270,7 @@
   work->started_us = core->now_us;
   work->target_started = core->target.started;
   if (!kind_of (work)->idempotent)
-    work->anchor = jl_once_mint_ticket (core);
+    work->anchor = jl_once_issue_ticket (core);
   core->counts.runs[work->priority / JL_SAMPLE_COUNT]++;
   run = &jl_emit (core, JL_EFFECT_RUN)->run;
   run->work = work->number;
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -18,9 +18,9 @@
 #define TICKET_RETENTION_US (600 * JL_USEC_PER_SEC)
 /* Maximum number of used tickets; beyond it the oldest expire early. */
 #define TICKET_MAX (256 * 1024)
-/* Interval at which the highest number minted so far is recorded. */
-#define MINT_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
-#define MINT_MARK_MAX 64
+/* Interval at which the highest number issued so far is recorded. */
+#define ISSUE_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
+#define ISSUE_MARK_MAX 64
 /* The key table is a cache; the platform's table is authoritative. */
 #define KEY_RETENTION_US (600 * JL_USEC_PER_SEC)
 #define KEY_MAX (64 * 1024)
@@ -79,17 +79,17 @@
 };
 
 /**
- * struct mint_mark - the highest ticket number minted by a point in time
+ * struct issue_mark - the highest ticket number issued by a point in time
  */
-struct mint_mark
+struct issue_mark
 {
   uint64_t number;
-  uint64_t minted_us;
+  uint64_t issued_us;
 };
 
 /**
  * struct jl_once - tickets and keys of one daemon
- * @minted: highest ticket number minted
+ * @issued: highest ticket number issued
  * @expired_upto: highest expired ticket number
  * @mark_first: index of the oldest element of @marks, which is a ring buffer
  * @order: used tickets without a run in progress, by the end of their last run
@@ -97,11 +97,11 @@
  */
 struct jl_once
 {
-  uint64_t minted;
+  uint64_t issued;
   uint64_t expired_upto;
   uint32_t mark_first;
   uint32_t mark_count;
-  struct mint_mark marks[MINT_MARK_MAX];
+  struct issue_mark marks[ISSUE_MARK_MAX];
   GHashTable *tickets;
   GHashTable *keys;
   struct cds_list_head order;
@@ -145,50 +145,50 @@
   g_free (once);
 }
 
-/* Expires ticket numbers by the mint marks that are past their time. */
+/* Expires ticket numbers by the issue marks that are past their time. */
 static void
-expire_mint_marks (struct jl_core *core)
+expire_issue_marks (struct jl_core *core)
 {
   struct jl_once *once = core->once;
 
   while (once->mark_count > 0)
     {
-      const struct mint_mark *mark = &once->marks[once->mark_first];
+      const struct issue_mark *mark = &once->marks[once->mark_first];
 
-      if (mark->minted_us + TICKET_RETENTION_US > core->now_us)
+      if (mark->issued_us + TICKET_RETENTION_US > core->now_us)
         return;
       once->expired_upto = mark->number;
-      once->mark_first = (once->mark_first + 1) % MINT_MARK_MAX;
+      once->mark_first = (once->mark_first + 1) % ISSUE_MARK_MAX;
       once->mark_count--;
     }
 }
 
-/* Records the highest number minted, at most once per interval. */
+/* Records the highest number issued, at most once per interval. */
 static void
-add_mint_mark (struct jl_core *core)
+add_issue_mark (struct jl_core *core)
 {
   struct jl_once *once = core->once;
-  uint32_t last = (once->mark_first + once->mark_count - 1) % MINT_MARK_MAX;
+  uint32_t last = (once->mark_first + once->mark_count - 1) % ISSUE_MARK_MAX;
 
-  if (once->mark_count == MINT_MARK_MAX)
+  if (once->mark_count == ISSUE_MARK_MAX)
     return;
   if (once->mark_count > 0
-      && once->marks[last].minted_us + MINT_MARK_INTERVAL_US > core->now_us)
+      && once->marks[last].issued_us + ISSUE_MARK_INTERVAL_US > core->now_us)
     return;
-  last = (once->mark_first + once->mark_count) % MINT_MARK_MAX;
-  once->marks[last].number = once->minted;
-  once->marks[last].minted_us = core->now_us;
+  last = (once->mark_first + once->mark_count) % ISSUE_MARK_MAX;
+  once->marks[last].number = once->issued;
+  once->marks[last].issued_us = core->now_us;
   once->mark_count++;
 }
 
 struct jl_ticket
-jl_once_mint_ticket (struct jl_core *core)
+jl_once_issue_ticket (struct jl_core *core)
 {
   struct jl_ticket ticket = { .issuer = core->identity };
 
-  expire_mint_marks (core);
-  ticket.number = ++core->once->minted;
-  add_mint_mark (core);
+  expire_issue_marks (core);
+  ticket.number = ++core->once->issued;
+  add_issue_mark (core);
   return ticket;
 }
 
@@ -283,12 +283,12 @@
   return false;
 }
 
-/* Whether this process minted the ticket and the ticket has not expired. */
+/* Whether this process issued the ticket and the ticket has not expired. */
 static bool
 is_ticket_valid (const struct jl_core *core, struct jl_ticket ticket)
 {
   return jl_identity_equal (ticket.issuer, core->identity)
-         && ticket.number <= core->once->minted
+         && ticket.number <= core->once->issued
          && ticket.number > core->once->expired_upto;
 }
 
@@ -345,7 +345,7 @@
 
   if (JL_SWITCHED_OFF (core, JL_MECHANISM_ONCE))
     return true;
-  expire_mint_marks (core);
+  expire_issue_marks (core);
   expire_tickets (core);
   entry = g_hash_table_lookup (core->once->tickets, &call->ticket);
   if (entry != NULL)
@@ -449,6 +449,6 @@
 {
   g_string_append_printf (
       out, "{\"minted\":%" PRIu64 ",\"used\":%u,\"keys\":%u}",
-      core->once->minted, g_hash_table_size (core->once->tickets),
+      core->once->issued, g_hash_table_size (core->once->tickets),
       g_hash_table_size (core->once->keys));
 }
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -4,7 +4,7 @@
 /**
  * DOC: At-most-once execution of requests that are not idempotent.
  *
- * A ticket identifies a request. Only the daemon that minted the ticket grants
+ * A ticket identifies a request. Only the daemon that issued the ticket grants
  * runs under it: one at a time, and none after a run that may have taken place.
  * If that daemon fails or restarts, no run is granted any more.
  */
@@ -15,9 +15,9 @@
 void jl_once_drop (struct jl_once *once);
 
 /**
- * jl_once_mint_ticket - returns a new ticket minted by this daemon
+ * jl_once_issue_ticket - returns a new ticket issued by this daemon
  */
-struct jl_ticket jl_once_mint_ticket (struct jl_core *core);
+struct jl_ticket jl_once_issue_ticket (struct jl_core *core);
 
 /**
  * jl_once_derive_ticket - returns the ticket of a call that a target makes
@@ -34,7 +34,7 @@
 
 /**
  * jl_once_grant - grants a run of @call under its ticket, which this daemon
- * minted
+ * issued
  *
  * Return: true if the call may be sent; false if it was answered instead.
  */
--- a/source/daemon/entry.c
+++ b/source/daemon/entry.c
@@ -16,7 +16,7 @@
   char text[JL_ID_TEXT_SIZE];
 
   jl_daemon_lock (daemon);
-  ticket = jl_core_mint_ticket (daemon->core);
+  ticket = jl_core_issue_ticket (daemon->core);
   jl_daemon_unlock (daemon);
   jl_ticket_format (ticket, text);
   jl_http_add_header (&exchange->response, "Jl-Ticket", text);
--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -89,7 +89,7 @@
   static const struct jl_event_call_result broken
       = { .result = JL_SEND_BROKEN };
 
-  rig_call_ticket (rig, rig_mint (rig));
+  rig_call_ticket (rig, rig_issue_ticket (rig));
   rig_end_send (rig, broken);
   cr_assert_not_null (find_message (rig, JL_MESSAGE_CANCEL));
   cr_assert_eq (find_message (rig, JL_MESSAGE_CANCEL)->to.epoch, EPOCH);
@@ -103,7 +103,7 @@
 Test (forward, nothing_with_a_key_is_granted_right_after_a_pause)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_tick_after (rig, 1000);
   rig_announce (rig);
@@ -127,7 +127,7 @@
   struct jl_event event = { .call = { .kind = PUT,
                                       .forwarded = true,
                                       .key_type = JL_KEY_TICKET,
-                                      .ticket = rig_mint (rig),
+                                      .ticket = rig_issue_ticket (rig),
                                       .budget_us = JL_USEC_PER_SEC } };
 
   message.from.member = OTHER;
@@ -200,7 +200,7 @@
   struct rig *rig = rig_new ();
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
 
-  event.call_result.call = rig_call_ticket (rig, rig_mint (rig));
+  event.call_result.call = rig_call_ticket (rig, rig_issue_ticket (rig));
   event.call_result.attempt = rig_find (rig, JL_EFFECT_SEND)->send.attempt;
   event.call_result.result = JL_SEND_BROKEN;
   rig_tick_after (rig, 150000);
@@ -218,7 +218,7 @@
                                       .budget_us = JL_USEC_PER_SEC } };
 
   join_other (rig);
-  event.call.ticket = rig_mint (rig);
+  event.call.ticket = rig_issue_ticket (rig);
   event.call.attempt.origin.member = OTHER;
   event.call.attempt.origin.epoch = OTHER_EPOCH - 1;
   event.call.attempt.number = 5;
--- a/tests/unit/once.c
+++ b/tests/unit/once.c
@@ -13,7 +13,7 @@
 Test (once, sent_again_in_progress_is_unknown)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_call_ticket (rig, ticket);
   cr_assert_not_null (rig_find (rig, JL_EFFECT_SEND));
@@ -29,7 +29,7 @@
 Test (once, sent_again_after_done_gets_the_stored_answer)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_call_ticket (rig, ticket);
   rig_end_send (rig, rig_done);
@@ -45,7 +45,7 @@
 Test (once, sent_again_after_unknown_is_never_sent)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_call_ticket (rig, ticket);
   rig_end_send (rig, rig_timed_out);
@@ -62,7 +62,7 @@
 Test (once, not_run_holds_until_the_caller_is_to_come_back)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_call_ticket (rig, ticket);
   rig_end_send (rig, rig_refused);
@@ -94,7 +94,7 @@
 Test (once, tickets_of_nobody_here_are_never_run)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
   struct jl_ticket other = ticket;
 
   other.issuer.epoch--;
@@ -129,7 +129,7 @@
 }
 
 /*
- * A burst of requests is followed by an hour in which no ticket is minted. The
+ * A burst of requests is followed by an hour in which no ticket is issued. The
  * tickets must expire nevertheless, and must not be granted after that.
  */
 Test (once, used_tickets_expire_and_are_not_run_then)
@@ -139,7 +139,7 @@
 
   for (uint32_t i = 0; i < G_N_ELEMENTS (tickets); i++)
     {
-      tickets[i] = rig_mint (rig);
+      tickets[i] = rig_issue_ticket (rig);
       rig_call_ticket (rig, tickets[i]);
       rig_end_send (rig, rig_refused);
     }
@@ -157,15 +157,15 @@
 {
   struct rig *rig = rig_new ();
 
-  rig_call_ticket (rig, rig_mint (rig));
+  rig_call_ticket (rig, rig_issue_ticket (rig));
   for (uint32_t i = 0; i < 50; i++)
     {
-      rig_call_ticket (rig, rig_mint (rig));
+      rig_call_ticket (rig, rig_issue_ticket (rig));
       rig_end_send (rig, rig_done);
     }
   rig_tick_after (rig, 700000);
   rig_announce (rig);
-  rig_call_ticket (rig, rig_mint (rig));
+  rig_call_ticket (rig, rig_issue_ticket (rig));
   cr_assert_eq (dumped_count (rig, "used"), 2);
   rig_drop (rig);
 }
@@ -254,7 +254,7 @@
 Test (once, key_of_a_request_that_ran_is_not_told_not_run)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
   struct jl_event event = {
     .call
     = { .kind = PUT, .key_type = JL_KEY_TICKET, .ticket = ticket, .digest = 8 }
@@ -285,7 +285,7 @@
 Test (once, repeated_parent_does_not_run_its_call_twice)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket anchor = rig_mint (rig);
+  struct jl_ticket anchor = rig_issue_ticket (rig);
   uint64_t first = rig_begin_run (rig, anchor);
   uint64_t second = rig_begin_run (rig, anchor);
 
@@ -301,7 +301,7 @@
 Test (once, call_of_a_repeated_parent_is_known_after_an_apply)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket anchor = rig_mint (rig);
+  struct jl_ticket anchor = rig_issue_ticket (rig);
   uint64_t first = rig_begin_run (rig, anchor);
   uint64_t second;
 
@@ -319,7 +319,7 @@
 Test (once, paths_down_the_tree_have_different_tickets)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket anchor = rig_mint (rig);
+  struct jl_ticket anchor = rig_issue_ticket (rig);
   uint64_t top = rig_begin_run (rig, anchor);
   struct jl_ticket below[2];
 
@@ -340,7 +340,7 @@
 Test (once, idempotent_request_sent_again_has_the_same_anchor)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
   struct jl_event event
       = { .call
           = { .kind = GET, .key_type = JL_KEY_TICKET, .ticket = ticket } };
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -103,7 +103,7 @@
 }
 
 struct jl_ticket
-rig_mint (struct rig *rig)
+rig_issue_ticket (struct rig *rig)
 {
   struct jl_event event = { .type = JL_EVENT_CALL };
   const struct jl_effect *send;
--- a/tests/unit/parts/rig.h
+++ b/tests/unit/parts/rig.h
@@ -66,9 +66,9 @@
 const struct jl_effect *rig_find (const struct rig *rig,
                                   enum jl_effect_type type);
 /**
- * rig_mint - returns a new ticket of the daemon
+ * rig_issue_ticket - returns a new ticket of the daemon
  */
-struct jl_ticket rig_mint (struct rig *rig);
+struct jl_ticket rig_issue_ticket (struct rig *rig);
 /**
  * rig_call_event - sends @event as a new call
  *
