--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -515,7 +515,7 @@
 
 /* Logs when the level is first lowered, and when it has been restored. */
 static void
-log_level (struct jl_core *core)
+log_level_change (struct jl_core *core)
 {
   struct jl_admit *admit = core->admit;
   uint32_t value = jl_level_get (admit->level);
@@ -556,7 +556,7 @@
     {
       jl_level_end_window (admit->level, &window);
       evict (core);
-      log_level (core);
+      log_level_change (core);
     }
   start_waiting (core);
   if (!jl_level_idle (admit->level) || !jl_limit_settled (admit->limit)
--- a/source/core/attempt-table.c
+++ b/source/core/attempt-table.c
@@ -70,9 +70,9 @@
 jl_attempt_find_state (struct jl_core *core, struct jl_attempt_id attempt)
 {
   struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
-  return entry == NULL ? JL_ATTEMPT_UNSEEN : entry->state;
+  return entry == NULL ? JL_ATTEMPT_UNKNOWN : entry->state;
 }
 
 /*
@@ -82,7 +82,7 @@
 static void
 expire_entries (struct jl_core *core)
 {
-  struct jl_attempt_table *table = core->seen;
+  struct jl_attempt_table *table = core->attempt_table;
 
   while (!cds_list_empty (&table->order))
     {
@@ -107,7 +107,7 @@
                       struct jl_attempt_id attempt,
                       enum jl_attempt_state state)
 {
-  struct jl_attempt_table *table = core->seen;
+  struct jl_attempt_table *table = core->attempt_table;
   struct attempt_entry *entry = g_hash_table_lookup (table->entries, &attempt);
 
   if (entry != NULL)
@@ -130,7 +130,7 @@
                      uint64_t work)
 {
   struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
   if (entry != NULL)
     entry->work = work;
@@ -140,7 +140,7 @@
 jl_attempt_find_work (struct jl_core *core, struct jl_attempt_id attempt)
 {
   const struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
   return entry == NULL ? 0 : entry->work;
 }
--- a/source/core/attempt-table.h
+++ b/source/core/attempt-table.h
@@ -12,13 +12,13 @@
 
 /**
  * enum jl_attempt_state - state of an attempt at the receiving daemon
- * @JL_ATTEMPT_UNSEEN: it has not arrived, or its entry has expired
+ * @JL_ATTEMPT_UNKNOWN: it has not arrived, or its entry has expired
  * @JL_ATTEMPT_ACCEPTED: it is queued, running or ended
  * @JL_ATTEMPT_TOMBSTONE: it was refused or cancelled and will never run
  */
 enum jl_attempt_state
 {
-  JL_ATTEMPT_UNSEEN,
+  JL_ATTEMPT_UNKNOWN,
   JL_ATTEMPT_ACCEPTED,
   JL_ATTEMPT_TOMBSTONE,
 };
--- a/source/core/cancel.c
+++ b/source/core/cancel.c
@@ -74,7 +74,7 @@
 
   jl_cancel_send (core, cancel->to, cancel->attempt);
   if (++cancel->sent == SEND_COUNT_MAX)
-    g_hash_table_remove (core->withdraw->pending,
+    g_hash_table_remove (core->cancel_table->pending,
                          JL_HASH_KEY (cancel->attempt.number));
   else
     jl_timer_start (core->timers, timer,
@@ -87,7 +87,7 @@
                                struct jl_identity to,
                                struct jl_attempt_id attempt)
 {
-  GHashTable *pending = core->withdraw->pending;
+  GHashTable *pending = core->cancel_table->pending;
   struct pending_cancel *cancel;
 
   if (g_hash_table_size (pending) >= PENDING_CANCEL_MAX)
@@ -105,7 +105,7 @@
 void
 jl_cancel_answered (struct jl_core *core, struct jl_attempt_id attempt)
 {
-  GHashTable *pending = core->withdraw->pending;
+  GHashTable *pending = core->cancel_table->pending;
   struct pending_cancel *cancel
       = g_hash_table_lookup (pending, JL_HASH_KEY (attempt.number));
 
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -47,7 +47,7 @@
 
 /**
  * enum jl_call_state - state of a call at its entry
- * @JL_CALL_NEW: no attempt is in progress
+ * @JL_CALL_IDLE: no attempt is in progress
  * @JL_CALL_CLAIMING: waiting for JL_EVENT_CLAIM_RESULT
  * @JL_CALL_SENT: an attempt is in progress
  * @JL_CALL_FORWARDED: forwarded to the minter of its ticket
@@ -55,7 +55,7 @@
  */
 enum jl_call_state
 {
-  JL_CALL_NEW,
+  JL_CALL_IDLE,
   JL_CALL_CLAIMING,
   JL_CALL_SENT,
   JL_CALL_FORWARDED,
@@ -78,7 +78,8 @@
  *          the parent's
  * @tokens_initial: initial value of @tokens
  * @tokens_lent: part of @tokens that is lent to the attempt in progress
- * @lent: tokens lent to the attempt in progress, from this pool or the parent's
+ * @attempt_tokens: tokens lent to the attempt in progress, from this pool or
+ * the parent's
  * @sends: number of attempts so far
  * @attempt: ID of the attempt in progress
  * @sent_us: when the attempt was sent
@@ -110,7 +111,7 @@
   uint32_t tokens;
   uint32_t tokens_initial;
   uint32_t tokens_lent;
-  uint32_t lent;
+  uint32_t attempt_tokens;
   uint32_t sends;
   struct jl_attempt_id attempt;
   uint64_t sent_us;
@@ -238,8 +239,8 @@
   struct jl_retry *retry;
   struct jl_once *once;
   struct jl_poison *poison;
-  struct jl_attempt_table *seen;
-  struct jl_cancel_table *withdraw;
+  struct jl_attempt_table *attempt_table;
+  struct jl_cancel_table *cancel_table;
   struct jl_counts counts;
 };
 
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -66,8 +66,8 @@
   core->retry = jl_retry_new (core);
   core->once = jl_once_new (core);
   core->poison = jl_poison_new (core);
-  core->seen = jl_attempt_table_new (core);
-  core->withdraw = jl_cancel_table_new (core);
+  core->attempt_table = jl_attempt_table_new (core);
+  core->cancel_table = jl_cancel_table_new (core);
   core->graph = jl_graph_new (core);
   core->place = jl_place_new (core);
   core->admit = jl_admit_new (core);
@@ -111,8 +111,8 @@
   jl_place_drop (core->place);
   jl_graph_drop (core->graph);
   jl_poison_drop (core->poison);
-  jl_attempt_table_drop (core->seen);
-  jl_cancel_table_drop (core->withdraw);
+  jl_attempt_table_drop (core->attempt_table);
+  jl_cancel_table_drop (core->cancel_table);
   jl_once_drop (core->once);
   jl_retry_drop (core->retry);
   g_hash_table_destroy (core->calls);
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -89,7 +89,7 @@
     return;
   jl_timer_stop (core->timers, &call->timer);
   g_hash_table_remove (core->cancelling, JL_HASH_KEY (call->attempt.number));
-  call->state = JL_CALL_NEW;
+  call->state = JL_CALL_IDLE;
   if (message->type == JL_MESSAGE_CANCELLED)
     retry_or_finish (core, call, JL_REASON_TARGET_LOST, false);
   else
@@ -109,7 +109,7 @@
 }
 
 static void
-retry_struck (void *context, struct jl_timer *timer)
+retry_after_strike (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_call *call = caa_container_of (timer, struct jl_call, timer);
@@ -119,7 +119,7 @@
 
 /* The target crashed while it ran this call, which may be the cause. */
 static void
-handle_struck (struct jl_core *core, struct jl_call *call)
+handle_strike (struct jl_core *core, struct jl_call *call)
 {
   uint64_t due_us = core->now_us + STRIKE_RETRY_DELAY_US;
 
@@ -129,8 +129,8 @@
       jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_POISON);
       return;
     }
-  call->state = JL_CALL_NEW;
-  jl_timer_start (core->timers, &call->timer, due_us, retry_struck, core);
+  call->state = JL_CALL_IDLE;
+  jl_timer_start (core->timers, &call->timer, due_us, retry_after_strike, core);
 }
 
 /* Handles the guard's answer. */
@@ -151,7 +151,7 @@
     case JL_OUTCOME_UNKNOWN:
       call->may_have_run = true;
       if (event->reason == JL_REASON_POISON)
-        handle_struck (core, call);
+        handle_strike (core, call);
       else if (!call->at_most_once && event->reason == JL_REASON_TARGET_LOST)
         retry_or_finish (core, call, event->reason, event->no_retry);
       else
@@ -275,7 +275,8 @@
     }
   else
     jl_retry_return (core, call,
-                     event->result == JL_SEND_NOT_SENT ? call->lent : 0);
+                     event->result == JL_SEND_NOT_SENT ? call->attempt_tokens
+                                                       : 0);
   if (call->state == JL_CALL_FORWARDED)
     handle_forward_result (core, call, event);
   else
--- a/source/core/entry-send.c
+++ b/source/core/entry-send.c
@@ -18,7 +18,7 @@
   call->sent_us = core->now_us;
   call->attempt.origin = core->identity;
   call->attempt.number = ++core->next_attempt;
-  call->lent = jl_retry_lend (core, call);
+  call->attempt_tokens = jl_retry_lend (core, call);
   core->counts.sends++;
 }
 
@@ -64,7 +64,7 @@
   forward->kind = call->kind;
   forward->config_version = call->config->version;
   forward->priority = call->priority;
-  forward->tokens = call->lent;
+  forward->tokens = call->attempt_tokens;
   forward->invested_us = call->invested_us;
   forward->budget_us = call->deadline_us - core->now_us;
 }
@@ -95,7 +95,7 @@
   send->invested_us = call->invested_us;
   send->budget_us = call->deadline_us - core->now_us;
   send->anchor = call->anchor;
-  send->tokens = call->lent;
+  send->tokens = call->attempt_tokens;
   send->digest = call->digest;
 }
 
@@ -128,19 +128,19 @@
 static void
 finish_unplaced (struct jl_core *core,
                  struct jl_call *call,
-                 enum jl_place_status verdict)
+                 enum jl_place_status status)
 {
   enum jl_reason reason = call->last_reason;
 
-  if (verdict == JL_PLACE_REFUSED)
+  if (status == JL_PLACE_REFUSED)
     {
       jl_entry_report_level (core, call);
       call->last_retry_after_ms
           = jl_place_retry_after_ms (core, jl_place_service (core, call));
     }
   if (reason == JL_REASON_NONE)
-    reason = verdict == JL_PLACE_REFUSED ? JL_REASON_OVERLOAD
-                                         : JL_REASON_NO_TARGET;
+    reason
+        = status == JL_PLACE_REFUSED ? JL_REASON_OVERLOAD : JL_REASON_NO_TARGET;
   jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, reason);
 }
 
@@ -148,7 +148,7 @@
 jl_entry_dispatch (struct jl_core *core, struct jl_call *call)
 {
   struct jl_member *member = NULL;
-  enum jl_place_status verdict;
+  enum jl_place_status status;
   uint32_t service;
 
   if (core->now_us >= call->deadline_us)
@@ -167,9 +167,9 @@
       refuse_for_downstream (core, call, service);
       return;
     }
-  verdict = jl_place_choose (core, call, &member);
-  if (verdict != JL_PLACE_CHOSEN)
-    finish_unplaced (core, call, verdict);
+  status = jl_place_choose (core, call, &member);
+  if (status != JL_PLACE_CHOSEN)
+    finish_unplaced (core, call, status);
   else if (call->sends > 0 && !jl_retry_spend (core, call))
     jl_entry_finish (core, call, JL_OUTCOME_NOT_RUN, call->last_reason);
   else
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -133,7 +133,7 @@
                      + jl_random_below (core, RETRY_AFTER_DEFAULT_MS);
   if (at_most_once)
     retry_after_ms
-        = jl_once_settle (core, call, outcome, reason, retry_after_ms);
+        = jl_once_record_outcome (core, call, outcome, reason, retry_after_ms);
   answer = jl_entry_answer (core, call, outcome, reason);
   answer->store = at_most_once && outcome == JL_OUTCOME_DONE;
   if (outcome != JL_OUTCOME_DONE)
@@ -193,10 +193,10 @@
 }
 
 static void
-start_tree (struct jl_core *core,
-            struct jl_call *call,
-            const struct jl_event_call *event,
-            const struct jl_kind *kind)
+init_root_call (struct jl_core *core,
+                struct jl_call *call,
+                const struct jl_event_call *event,
+                const struct jl_kind *kind)
 {
   call->priority
       = kind->importance * JL_SAMPLE_COUNT + choose_sample (core, event);
@@ -228,7 +228,7 @@
   if (parent != NULL)
     inherit_from_parent (core, call, parent, event->ordinal);
   else
-    start_tree (core, call, event, kind);
+    init_root_call (core, call, event, kind);
   core->root_calls += parent == NULL;
   if (event->forwarded)
     {
@@ -244,7 +244,7 @@
 
 /* Only the minter of its ticket may send an at-most-once call to a target. */
 static void
-dispatch_guarded (struct jl_core *core, struct jl_call *call)
+dispatch_at_most_once (struct jl_core *core, struct jl_call *call)
 {
   if (call->ticket.minter.member != core->identity.member)
     {
@@ -321,9 +321,9 @@
 }
 
 static void
-begin_guarded (struct jl_core *core,
-               struct jl_call *call,
-               const struct jl_event_call *event)
+begin_at_most_once (struct jl_core *core,
+                    struct jl_call *call,
+                    const struct jl_event_call *event)
 {
   if (call->has_key && core->now_us < core->stale_until_us)
     {
@@ -337,7 +337,7 @@
       claim_key (core, call);
       return;
     }
-  dispatch_guarded (core, call);
+  dispatch_at_most_once (core, call);
 }
 
 /*
@@ -416,7 +416,7 @@
     }
   call = create_call (core, event, parent);
   if (call->at_most_once)
-    begin_guarded (core, call, event);
+    begin_at_most_once (core, call, event);
   else
     jl_entry_dispatch (core, call);
 }
@@ -436,8 +436,8 @@
       return;
     }
   jl_timer_stop (core->timers, &call->timer);
-  call->state = JL_CALL_NEW;
+  call->state = JL_CALL_IDLE;
   call->ticket = event->owner_ticket;
   jl_once_store_key (core, call->key_hash, call->ticket);
-  dispatch_guarded (core, call);
+  dispatch_at_most_once (core, call);
 }
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -32,7 +32,7 @@
  * @span_started_us: start of the current span
  * @level: highest level reported in the current span
  * @previous_level: highest level reported in the span before; 0 for none
- * @heard_us: time of the last report; 0 if there was none
+ * @reported_us: time of the last report; 0 if there was none
  * @next_probe_us: earliest time of the next probe
  */
 struct service_level
@@ -40,7 +40,7 @@
   uint64_t span_started_us;
   uint32_t level;
   uint32_t previous_level;
-  uint64_t heard_us;
+  uint64_t reported_us;
   uint64_t next_probe_us;
 };
 
@@ -86,14 +86,14 @@
   struct service_level *known = &core->graph->services[service];
   uint64_t age_us = core->now_us - known->span_started_us;
 
-  if (known->heard_us == 0 || age_us >= LEVEL_SPAN_US)
+  if (known->reported_us == 0 || age_us >= LEVEL_SPAN_US)
     {
       known->previous_level = age_us < 2 * LEVEL_SPAN_US ? known->level : 0;
       known->level = 0;
       known->span_started_us = core->now_us;
     }
   known->level = MAX (known->level, level);
-  known->heard_us = core->now_us;
+  known->reported_us = core->now_us;
 }
 
 static void
@@ -140,7 +140,8 @@
 {
   const struct service_level *known = &core->graph->services[service];
 
-  if (known->heard_us == 0 || known->heard_us + LEVEL_EXPIRY_US < core->now_us)
+  if (known->reported_us == 0
+      || known->reported_us + LEVEL_EXPIRY_US < core->now_us)
     return JL_PRIORITY_COUNT;
   return MAX (known->level, known->previous_level);
 }
@@ -151,7 +152,7 @@
 {
   uint32_t interval_count = 1 + jl_members_count (core) / PROBE_DAEMONS;
 
-  if (known->heard_us + LEVEL_FRESH_US >= core->now_us
+  if (known->reported_us + LEVEL_FRESH_US >= core->now_us
       || known->next_probe_us > core->now_us)
     return false;
   known->next_probe_us = core->now_us + interval_count * PROBE_INTERVAL_US;
@@ -164,14 +165,14 @@
                   uint32_t priority,
                   uint32_t *service)
 {
-  uint32_t own = core->config->kinds[kind].service;
+  uint32_t own_service = core->config->kinds[kind].service;
   const struct reach *reach = &core->graph->kinds[kind];
 
   if (core->options.mode != JL_CORE_FULL)
     return false;
   for (uint32_t i = 0; i < core->config->service_count; i++)
     {
-      if (i == own || !is_reached (reach, i)
+      if (i == own_service || !is_reached (reach, i)
           || priority < jl_graph_level (core, i)
           || take_probe (core, &core->graph->services[i]))
         continue;
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -188,19 +188,19 @@
 void
 jl_guard_work (struct jl_core *core, const struct jl_event_work *event)
 {
-  enum jl_attempt_state seen = jl_attempt_find_state (core, event->attempt);
+  enum jl_attempt_state state = jl_attempt_find_state (core, event->attempt);
   enum jl_reason reason;
   struct jl_work *work;
 
-  if (seen == JL_ATTEMPT_TOMBSTONE
+  if (state == JL_ATTEMPT_TOMBSTONE
       && JL_SWITCHED_OFF (core, JL_MECHANISM_TOMBSTONE))
-    seen = JL_ATTEMPT_UNSEEN;
-  if (seen == JL_ATTEMPT_TOMBSTONE)
+    state = JL_ATTEMPT_UNKNOWN;
+  if (state == JL_ATTEMPT_TOMBSTONE)
     {
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, JL_REASON_CANCELLED);
       return;
     }
-  if (seen != JL_ATTEMPT_UNSEEN)
+  if (state != JL_ATTEMPT_UNKNOWN)
     {
       refuse_event (core, event, JL_OUTCOME_UNKNOWN, JL_REASON_DUPLICATE);
       return;
@@ -367,7 +367,7 @@
       jl_entry_work_ended (core, work);
       jl_emit (core, JL_EFFECT_ABORT)->abort_work = work->number;
     }
-  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNSEEN)
+  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNKNOWN)
     jl_attempt_set_state (core, message->attempt, JL_ATTEMPT_TOMBSTONE);
   answer_cancel (core, message,
                  jl_attempt_find_state (core, message->attempt)
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -20,8 +20,8 @@
  * After this many consecutive overloaded windows, the demand admitted is
  * reduced to a share of what was admitted before.
  */
-#define PERSISTENT_WINDOWS 3
-#define PERSISTENT_DEMAND_PERCENT 95
+#define PERSISTENT_OVERLOAD_WINDOWS 3
+#define PERSISTENT_OVERLOAD_DEMAND_PERCENT 95
 /* The first step up, in priorities. Each further step is twice as large. */
 #define STEP_MIN 8
 #define STEP_MAX (JL_PRIORITY_COUNT / 2)
@@ -173,9 +173,9 @@
   if (window->capacity_milli > 0)
     capacity
         = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
-  if (++level->overloaded_windows >= PERSISTENT_WINDOWS)
+  if (++level->overloaded_windows >= PERSISTENT_OVERLOAD_WINDOWS)
     capacity = MIN (capacity, demand_below (level, level->value)
-                                  * PERSISTENT_DEMAND_PERCENT / 100);
+                                  * PERSISTENT_OVERLOAD_DEMAND_PERCENT / 100);
   fitting = highest_level_within (level, capacity);
   fitting = MAX (fitting, min_level (level));
   level->value = MIN (level->value, fitting);
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -38,7 +38,7 @@
 #define TRIAL_PAUSE_WINDOWS 200
 #define TRIAL_PAUSE_WINDOWS_MAX 6400
 /* The limit is raised by one step after this many windows without overload. */
-#define CALM_WINDOWS 20
+#define RAISE_INTERVAL_WINDOWS 20
 
 /**
  * struct trial - throughput measurement at one limit
@@ -58,7 +58,7 @@
 
 /**
  * struct jl_limit - the limit and the measurements behind it
- * @cold_limit: limit by the age of the target process
+ * @cold_start_limit: limit by the age of the target process
  * @adaptive_limit: limit by the measured latency and throughput
  * @started_us: when the target process was first announced
  * @mean_hold_us: moving average of the time for which a request holds its slot
@@ -68,14 +68,14 @@
  * @previous_rate: throughput at the previous limit in requests per second; 0 if
  *                 there is none to compare with
  * @upward: whether the last step raised the limit
- * @calm_windows: consecutive windows without overload
+ * @windows_without_overload: consecutive windows without overload
  * @pause_windows: remaining windows in which no trial takes place
  * @next_pause_windows: length of the pause after the next failed trial
  */
 struct jl_limit
 {
   uint32_t slots;
-  uint32_t cold_limit;
+  uint32_t cold_start_limit;
   uint32_t adaptive_limit;
   uint64_t started_us;
   uint64_t cold_start_us;
@@ -88,7 +88,7 @@
   uint64_t running_us;
   uint64_t previous_rate;
   bool upward;
-  uint32_t calm_windows;
+  uint32_t windows_without_overload;
   uint32_t pause_windows;
   uint32_t next_pause_windows;
 };
@@ -111,7 +111,7 @@
 uint32_t
 jl_limit_get (const struct jl_limit *limit)
 {
-  return MIN (limit->cold_limit, limit->adaptive_limit);
+  return MIN (limit->cold_start_limit, limit->adaptive_limit);
 }
 
 uint64_t
@@ -132,9 +132,9 @@
   uint32_t first = divide_slots (limit->slots, COLD_START_DIVISOR);
   uint64_t age_us = now_us - limit->started_us;
 
-  limit->cold_limit = limit->slots;
+  limit->cold_start_limit = limit->slots;
   if (age_us < limit->cold_start_us)
-    limit->cold_limit
+    limit->cold_start_limit
         = first
           + (uint32_t)((limit->slots - first) * age_us / limit->cold_start_us);
 }
@@ -281,10 +281,10 @@
   const struct trial *trial = &limit->trial;
   uint64_t span_us = MAX (limit->running_us - trial->started_us, 1);
   uint64_t rate = trial->count * JL_USEC_PER_SEC / span_us;
-  bool used = trial->used_us * 100
-              >= span_us * TRIAL_UTILIZATION_PERCENT * limit->adaptive_limit;
+  bool utilized = trial->used_us * 100 >= span_us * TRIAL_UTILIZATION_PERCENT
+                                              * limit->adaptive_limit;
 
-  if (!used)
+  if (!utilized)
     {
       begin_trial (limit);
       return;
@@ -298,12 +298,12 @@
 
 /* Raises the limit step by step while there is no overload. */
 static void
-handle_calm_window (struct jl_limit *limit)
+handle_window_without_overload (struct jl_limit *limit)
 {
   begin_trial (limit);
-  if (++limit->calm_windows < CALM_WINDOWS)
+  if (++limit->windows_without_overload < RAISE_INTERVAL_WINDOWS)
     return;
-  limit->calm_windows = 0;
+  limit->windows_without_overload = 0;
   limit->previous_rate = 0;
   limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
   step_limit (limit, true);
@@ -312,14 +312,14 @@
 void
 jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
 {
-  if (limit->cold_limit < limit->slots)
+  if (limit->cold_start_limit < limit->slots)
     update_cold_limit (limit, now_us);
   if (!overloaded)
     {
-      handle_calm_window (limit);
+      handle_window_without_overload (limit);
       return;
     }
-  limit->calm_windows = 0;
+  limit->windows_without_overload = 0;
   if (limit->pause_windows > 0)
     {
       limit->pause_windows--;
@@ -332,6 +332,6 @@
 bool
 jl_limit_settled (const struct jl_limit *limit)
 {
-  return limit->cold_limit == limit->slots
+  return limit->cold_start_limit == limit->slots
          && limit->adaptive_limit == limit->slots;
 }
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -50,9 +50,9 @@
  * @reason: why the request was not run, with TICKET_IDLE
  * @digest: digest of the request's content
  * @tokens: retry tokens that the request has left
- * @regrant_after_us: no run is granted before, see jl_once_settle()
- * @settled_us: time at which its last granted run ended
- * @order: link in the list by @settled_us; unlinked while a run is in progress
+ * @regrant_after_us: no run is granted before, see jl_once_record_outcome()
+ * @ended_us: time at which its last granted run ended
+ * @order: link in the list by @ended_us; unlinked while a run is in progress
  */
 struct ticket_entry
 {
@@ -63,7 +63,7 @@
   uint64_t digest;
   uint32_t tokens;
   uint64_t regrant_after_us;
-  uint64_t settled_us;
+  uint64_t ended_us;
   struct cds_list_head order;
 };
 
@@ -219,7 +219,7 @@
       struct ticket_entry *oldest
           = cds_list_first_entry (&once->order, struct ticket_entry, order);
 
-      if (oldest->settled_us + TICKET_RETENTION_US > core->now_us
+      if (oldest->ended_us + TICKET_RETENTION_US > core->now_us
           && g_hash_table_size (once->tickets) <= TICKET_MAX)
         return;
       once->expired_upto = MAX (once->expired_upto, oldest->ticket.number);
@@ -254,13 +254,13 @@
 
 /* Records the end of a granted run. */
 static void
-settle (struct jl_core *core,
-        struct ticket_entry *entry,
-        enum ticket_state state)
+end_grant (struct jl_core *core,
+           struct ticket_entry *entry,
+           enum ticket_state state)
 {
   entry->state = state;
   entry->may_have_run = state != TICKET_IDLE;
-  entry->settled_us = core->now_us;
+  entry->ended_us = core->now_us;
   cds_list_add_tail (&entry->order, &core->once->order);
   expire_tickets (core);
 }
@@ -294,9 +294,9 @@
 
 /* Answers a request whose last outcome, "not run", is still recent. */
 static bool
-answer_too_early (struct jl_core *core,
-                  struct jl_call *call,
-                  const struct ticket_entry *entry)
+answer_before_regrant (struct jl_core *core,
+                       struct jl_call *call,
+                       const struct ticket_entry *entry)
 {
   uint64_t wait_us = entry->regrant_after_us - core->now_us;
 
@@ -330,7 +330,7 @@
       break;
     }
   if (core->now_us < entry->regrant_after_us)
-    return answer_too_early (core, call, entry);
+    return answer_before_regrant (core, call, entry);
   /* A call below the root of its tree uses tokens that the tree lent to it. */
   if (call->ticket.branch == 0)
     call->tokens = MIN (call->tokens, entry->tokens);
@@ -358,11 +358,11 @@
 }
 
 uint32_t
-jl_once_settle (struct jl_core *core,
-                struct jl_call *call,
-                enum jl_outcome outcome,
-                enum jl_reason reason,
-                uint32_t retry_after_ms)
+jl_once_record_outcome (struct jl_core *core,
+                        struct jl_call *call,
+                        enum jl_outcome outcome,
+                        enum jl_reason reason,
+                        uint32_t retry_after_ms)
 {
   struct ticket_entry *entry;
 
@@ -376,16 +376,16 @@
   entry->reason = reason;
   entry->regrant_after_us = core->now_us + retry_after_ms * JL_USEC_PER_MSEC;
   if (outcome == JL_OUTCOME_DONE)
-    settle (core, entry, TICKET_DONE);
+    end_grant (core, entry, TICKET_DONE);
   else if (outcome == JL_OUTCOME_NOT_RUN)
-    settle (core, entry, TICKET_IDLE);
+    end_grant (core, entry, TICKET_IDLE);
   else
-    settle (core, entry, TICKET_UNKNOWN);
+    end_grant (core, entry, TICKET_UNKNOWN);
   return retry_after_ms;
 }
 
 static void
-drop_key (struct jl_once *once, struct key_entry *entry)
+remove_key (struct jl_once *once, struct key_entry *entry)
 {
   cds_list_del (&entry->order);
   g_hash_table_remove (once->keys, JL_HASH_KEY (entry->key_hash));
@@ -405,7 +405,7 @@
       if (oldest->stored_us + KEY_RETENTION_US > core->now_us
           && g_hash_table_size (once->keys) <= KEY_MAX)
         return;
-      drop_key (once, oldest);
+      remove_key (once, oldest);
     }
 }
 
@@ -434,7 +434,7 @@
       = g_hash_table_lookup (once->keys, JL_HASH_KEY (key_hash));
 
   if (entry != NULL)
-    drop_key (once, entry);
+    remove_key (once, entry);
   entry = g_new0 (struct key_entry, 1);
   entry->key_hash = key_hash;
   entry->ticket = ticket;
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -41,7 +41,7 @@
 bool jl_once_grant (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_once_settle - records the final outcome of a granted run
+ * jl_once_record_outcome - records the final outcome of a granted run
  * @outcome: after JL_OUTCOME_NOT_RUN another run may be granted
  * @retry_after_ms: retry delay that the caller will be given
  *
@@ -50,11 +50,11 @@
  *
  * Return: retry delay to give to the caller, at least @retry_after_ms.
  */
-uint32_t jl_once_settle (struct jl_core *core,
-                         struct jl_call *call,
-                         enum jl_outcome outcome,
-                         enum jl_reason reason,
-                         uint32_t retry_after_ms);
+uint32_t jl_once_record_outcome (struct jl_core *core,
+                                 struct jl_call *call,
+                                 enum jl_outcome outcome,
+                                 enum jl_reason reason,
+                                 uint32_t retry_after_ms);
 
 /**
  * jl_once_find_key - looks up the ticket of a caller's key
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -41,7 +41,7 @@
 struct retry_hint
 {
   uint32_t retry_after_ms;
-  uint64_t heard_us;
+  uint64_t received_us;
 };
 
 /**
@@ -399,7 +399,7 @@
     return 0;
   retry_hint = &core->place->retry_hints[service];
   if (retry_hint->retry_after_ms == 0
-      || retry_hint->heard_us + LEVEL_EXPIRY_US < core->now_us)
+      || retry_hint->received_us + LEVEL_EXPIRY_US < core->now_us)
     return 0;
   return retry_hint->retry_after_ms / 2
          + jl_random_below (core, retry_hint->retry_after_ms);
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -51,7 +51,7 @@
 
 /**
  * struct record - strikes against one content
- * @done_us: when it was last answered here; older strikes do not count
+ * @answered_us: when it was last answered here; older strikes do not count
  * @changed_us: time of the newest strike or answer, from which expiry counts
  * @notify_pending: the daemons of the own service have not been notified yet
  * @count: number of entries of @strikes in use
@@ -60,7 +60,7 @@
 struct record
 {
   uint64_t digest;
-  uint64_t done_us;
+  uint64_t answered_us;
   uint64_t changed_us;
   bool notify_pending;
   uint32_t count;
@@ -124,7 +124,7 @@
 }
 
 static void
-drop_oldest (struct jl_core *core)
+remove_oldest_record (struct jl_core *core)
 {
   struct record *oldest
       = cds_list_first_entry (&core->poison->order, struct record, order);
@@ -134,7 +134,7 @@
 }
 
 static void
-expire (void *context, struct jl_timer *timer)
+expire_records (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
 
@@ -146,10 +146,10 @@
 
       if (due_us > core->now_us)
         {
-          jl_timer_start (core->timers, timer, due_us, expire, core);
+          jl_timer_start (core->timers, timer, due_us, expire_records, core);
           return;
         }
-      drop_oldest (core);
+      remove_oldest_record (core);
     }
 }
 
@@ -164,7 +164,7 @@
   cds_list_add_tail (&record->order, &poison->order);
   if (poison->expiry_timer.heap_position == 0)
     jl_timer_start (core->timers, &poison->expiry_timer,
-                    core->now_us + STRIKE_EXPIRY_US, expire, core);
+                    core->now_us + STRIKE_EXPIRY_US, expire_records, core);
 }
 
 static struct record *
@@ -173,7 +173,7 @@
   struct record *record = g_new0 (struct record, 1);
 
   if (g_hash_table_size (core->poison->records) >= RECORD_MAX)
-    drop_oldest (core);
+    remove_oldest_record (core);
   record->digest = digest;
   cds_list_add_tail (&record->order, &core->poison->order);
   g_hash_table_insert (core->poison->records, JL_HASH_KEY (digest), record);
@@ -186,7 +186,7 @@
            const struct record *record,
            const struct strike *strike)
 {
-  return strike->struck_us > record->done_us
+  return strike->struck_us > record->answered_us
          && strike->struck_us + STRIKE_EXPIRY_US > core->now_us;
 }
 
@@ -236,7 +236,7 @@
 
   if (record == NULL)
     record = add_record (core, digest);
-  if (struck_us <= record->done_us)
+  if (struck_us <= record->answered_us)
     return false;
   strike = find_strike_slot (record, target);
   if (strike->target == target
@@ -382,7 +382,7 @@
   answered->answered_us = core->now_us;
   if (record == NULL)
     return;
-  record->done_us = core->now_us;
+  record->answered_us = core->now_us;
   refresh_expiry (core, record);
 }
 
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -78,7 +78,7 @@
 
   *pool.left -= lent;
   *pool.lent += lent;
-  call->lent = lent;
+  call->attempt_tokens = lent;
   check_pool (pool);
   return lent;
 }
@@ -90,11 +90,11 @@
 {
   struct pool pool = token_pool (call);
 
-  JL_INVARIANT (*pool.lent >= call->lent,
+  JL_INVARIANT (*pool.lent >= call->attempt_tokens,
                 "no more tokens are returned than were lent");
-  *pool.lent -= call->lent;
-  *pool.left += MIN (tokens, call->lent);
-  call->lent = 0;
+  *pool.lent -= call->attempt_tokens;
+  *pool.left += MIN (tokens, call->attempt_tokens);
+  call->attempt_tokens = 0;
   check_pool (pool);
 }
 
