--- a/include/jackdawladder/core.h
+++ b/include/jackdawladder/core.h
@@ -19,8 +19,8 @@
  * @JL_CORE_FULL: all controls
  * @JL_CORE_LIMIT_ONLY: baseline for comparison; only a concurrency limit at
  *                      each hop
- * @JL_CORE_FORWARD: baseline for comparison; no control, each hop retries up
- *                   to twice
+ * @JL_CORE_FORWARD: baseline for comparison; no control, each hop retries a
+ *                   failed call at most twice
  */
 enum jl_core_mode
 {
@@ -63,11 +63,11 @@
  * @peer: endpoint at which this daemon takes calls of other daemons
  * @zone: availability zone of this daemon
  * @seed: seed of the random number generator
- * @call_max: limit on concurrent calls that come from callers, 0 for no limit
- * @work_max: limit on queued and running work items, 0 for no limit
- * @now_us: monotonic time at the start
+ * @call_max: maximum number of concurrent calls from callers, 0 for no limit
+ * @work_max: maximum number of queued and running work items, 0 for no limit
+ * @now_us: monotonic time in microseconds at which the reducer is created
  * @mode: overload controls that are enabled
- * @switched_off: bit set of enum jl_mechanism
+ * @switched_off: disabled mechanisms, a bit set of enum jl_mechanism
  */
 struct jl_core_options
 {
@@ -82,7 +82,15 @@
   uint32_t switched_off;
 };
 
+/**
+ * jl_core_new - creates a reducer without configuration and members
+ */
 struct jl_core *jl_core_new (const struct jl_core_options *options);
+
+/**
+ * jl_core_drop - frees a reducer without answering the calls and work items in
+ * progress
+ */
 void jl_core_drop (struct jl_core *core);
 
 /**
@@ -96,9 +104,10 @@
                    struct jl_effects *effects);
 
 /**
- * jl_core_next_timer - returns the time by which the next event is due
+ * jl_core_next_timer - returns the time at which the next timer is due
  *
- * If no other event comes before that time, a JL_EVENT_TICK must be sent.
+ * If no other event arrives before that time, the I/O layer must send a
+ * JL_EVENT_TICK.
  *
  * Return: monotonic time in microseconds, UINT64_MAX if no timer is started.
  */
--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -5,7 +5,7 @@
  * DOC: Effects, the actions that the reducer requests from the I/O layer.
  *
  * The I/O layer executes the effects of a step in order. An effect holds all
- * that its execution needs; the I/O layer never reads the reducer's state.
+ * data that its execution needs; the I/O layer never reads the reducer's state.
  */
 
 #include "jackdawladder/event.h"
@@ -21,14 +21,14 @@
  * @JL_EFFECT_FINISH: answer the daemon that sent a work item
  * @JL_EFFECT_ABORT: abort a running work item; the reducer still expects a
  *                   JL_EVENT_WORK_RESULT
- * @JL_EFFECT_STOP_SEND: abort an attempt; its result is still reported, and the
- *                       reducer ignores it
+ * @JL_EFFECT_STOP_SEND: abort an attempt; the I/O layer still reports its
+ * result, which the reducer ignores
  * @JL_EFFECT_MESSAGE: send a control message
  * @JL_EFFECT_PUBLISH: update this daemon's row in the platform's table
  * @JL_EFFECT_CONFIG: use the given configuration from now on
  * @JL_EFFECT_FETCH_CONFIG: fetch the configuration from a peer
  * @JL_EFFECT_LOG: write a log event
- * @JL_EFFECT_EXIT: exit the process; draining is complete
+ * @JL_EFFECT_EXIT: exit the process because draining is complete
  */
 enum jl_effect_type
 {
@@ -98,14 +98,14 @@
 /**
  * struct jl_effect_answer - send the final answer to the originator of a call
  * @outcome: outcome of the request over all transmissions of it by the caller
- *           under one key; with JL_OUTCOME_DONE, the response to send is the
- *           one that came with the last result
+ *           under one key; with JL_OUTCOME_DONE, the response that came with
+ *           the last result is sent
  * @attempt_outcome: outcome of this transmission alone; it may be
  *                   JL_OUTCOME_NOT_RUN while @outcome is JL_OUTCOME_UNKNOWN
- * @retry_after_ms: delay before the caller should retry; 0 if a retry is of
- *                  no use
- * @replay_stored: send the response that is stored under @ticket
- * @store: store the response under @ticket
+ * @retry_after_ms: delay after which the caller should retry; 0 if a retry
+ *                  cannot succeed
+ * @replay_stored: whether to send the response that is stored under @ticket
+ * @store: whether to store the response under @ticket
  * @ticket: ticket of the request; its number is 0 if there is none
  * @next_ticket: new ticket for the caller's next request
  * @tokens: unspent retry tokens of the call tree
@@ -152,12 +152,13 @@
 
 /**
  * struct jl_effect_finish - answer the daemon that sent a work item
- * @outcome: with JL_OUTCOME_DONE, the response to send is the one that came
- *           with the work item's result
- * @no_retry: whether a retry is of no use
- * @retry_after_ms: delay before a retry, 0 for no hint
+ * @outcome: outcome of the work item; with JL_OUTCOME_DONE, the response that
+ *           came with its result is sent
+ * @no_retry: whether a retry cannot succeed
+ * @retry_after_ms: delay after which the sender should retry, 0 if not
+ * specified
  * @tokens: unspent retry tokens that are given back
- * @report: overload report of this service and of those below it
+ * @report: overload report of this service and of the services that it calls
  */
 struct jl_effect_finish
 {
@@ -211,6 +212,10 @@
   uint64_t second;
 };
 
+/**
+ * struct jl_effect - an effect
+ * @type: selects the member of the union
+ */
 struct jl_effect
 {
   enum jl_effect_type type;
@@ -233,7 +238,7 @@
 };
 
 /**
- * struct jl_effects - list of effects that is reused from step to step
+ * struct jl_effects - list of effects, reused from step to step
  */
 struct jl_effects;
 
--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -59,7 +59,7 @@
  * @JL_EVENT_WORK: a work item has arrived at this guard
  * @JL_EVENT_WORK_RESULT: a run at the local target has ended
  * @JL_EVENT_MESSAGE: a control message was received
- * @JL_EVENT_SEED: the control endpoint of a daemon became known
+ * @JL_EVENT_SEED: the control endpoint of another daemon became known
  * @JL_EVENT_TYPE_COUNT: number of types
  */
 enum jl_event_type
@@ -125,7 +125,7 @@
  * @ticket: ticket of the request, only with JL_KEY_TICKET
  * @key_hash: hash of the caller's key, only with JL_KEY_CALLER
  * @digest: digest of method, path and body
- * @budget_us: time for which the caller waits, 0 for the limit of the kind
+ * @budget_us: time for which the caller waits, 0 for the deadline of the kind
  * @priority: priority, only with @forwarded; otherwise the reducer sets it
  * @tokens: retry tokens lent with the call, only with @forwarded
  * @invested_us: time already spent on the request by the daemons upstream, only
@@ -169,9 +169,9 @@
  * struct jl_event_call_result - a JL_EFFECT_SEND or JL_EFFECT_FORWARD has ended
  * @outcome: outcome that the other daemon reports, only with JL_SEND_ANSWERED
  * @reason: reason that the other daemon reports, only with JL_SEND_ANSWERED
- * @no_retry: whether the other daemon reports that a retry is of no use
- * @retry_after_ms: delay before a retry that the other daemon asks for, 0 for
- *                  none
+ * @no_retry: whether the other daemon reports that a retry cannot succeed
+ * @retry_after_ms: delay after which the other daemon asks for a retry, 0 if it
+ *                  did not specify one
  * @status: HTTP status of the target, only with JL_OUTCOME_DONE
  * @tokens: unspent retry tokens that the other daemon gave back
  * @report: overload report that the other daemon attached
--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -18,8 +18,8 @@
 /* Maximum number of waiting items per slot. */
 #define QUEUE_ITEMS_PER_SLOT_MAX 8
 /*
- * Maximum number of waiting items per slot in the modes without priorities, and
- * before the mean hold time of a slot is known.
+ * Maximum number of waiting items per slot without priorities, or while the
+ * mean hold time of a slot is unknown.
  */
 #define QUEUE_ITEMS_PER_SLOT_FIFO 2
 /*
@@ -27,11 +27,11 @@
  * allowed wait.
  */
 #define QUEUE_WAIT_FACTOR 2
-/* Minimum of the bound on the queue, in items. */
+/* Lower limit of the queue bound, in items. */
 #define QUEUE_ITEMS_MIN 4
 /*
- * The allowed wait is at least the time in which this many items per square
- * root of the slots drain.
+ * The allowed wait is at least the time in which this many items, multiplied by
+ * the square root of the number of slots, drain.
  */
 #define QUEUE_ITEMS_PER_SQRT_SLOT 4
 /* Allowed wait if the own target's service is not in the configuration. */
@@ -42,8 +42,8 @@
  */
 #define BACKLOG_WAIT_DIVISOR 4
 /*
- * A refused caller is told to retry after this time, which grows with the share
- * of refusals, plus up to 100% of jitter.
+ * Retry delay of a refused caller when no arrivals are refused. It grows with
+ * the share of refusals; up to 100% of jitter is added.
  */
 #define RETRY_AFTER_BASE_MS 500
 /* Maximum of the base delay, before jitter. */
@@ -55,11 +55,11 @@
  * struct jl_admit - admission control for the own target
  * @target_started: start time of the target process that announced @slots
  * @suspects_running: number of suspect requests that are running
- * @fifo: requests are handled in order of arrival, without priorities
+ * @fifo: whether requests are handled in order of arrival, without priorities
  * @queue: items that wait for a slot
  * @deferred: suspect items that wait until no other suspect request runs
  * @window_start_count: number of items that started in this window
- * @window_wait_sum_us: sum of the times for which these items waited
+ * @window_wait_sum_us: total wait of these items
  * @window_initial_waiting: number of waiting items at the start of this window
  * @window_refused: whether an item was refused from the queue in this window
  * @last_lowered_us: when the level was last below its maximum; 0 once its
@@ -166,12 +166,12 @@
              : UINT64_C (1000) * current_limit (core) * span_us / hold_us;
 }
 
-/* Returns how many items may wait, apart from the bound on threads. */
+/* Returns how many items may wait, regardless of the number of threads. */
 static uint64_t
 queue_capacity (const struct jl_core *core)
 {
   const struct jl_admit *admit = core->admit;
-  uint64_t highest = (uint64_t)admit->slots * QUEUE_ITEMS_PER_SLOT_MAX;
+  uint64_t max = (uint64_t)admit->slots * QUEUE_ITEMS_PER_SLOT_MAX;
   uint64_t bound;
 
   if (core->options.mode == JL_CORE_FORWARD)
@@ -180,12 +180,12 @@
     return (uint64_t)admit->slots * QUEUE_ITEMS_PER_SLOT_FIFO;
   bound = capacity_milli (core, QUEUE_WAIT_FACTOR * allowed_wait_us (core))
           / 1000;
-  return CLAMP (bound, QUEUE_ITEMS_MIN, MAX (highest, QUEUE_ITEMS_MIN));
+  return CLAMP (bound, QUEUE_ITEMS_MIN, MAX (max, QUEUE_ITEMS_MIN));
 }
 
 /*
  * Returns how many items may wait. Each waiting item holds a thread of the peer
- * port. Without a free thread, requests would wait in front of the daemon,
+ * port. If no thread were free, requests would wait in front of the daemon,
  * where they are not ordered by priority.
  */
 static uint64_t
@@ -254,7 +254,10 @@
                    jl_admit_retry_after_ms (core));
 }
 
-/* Refuses waiting items that the level excludes or that exceed the bound. */
+/*
+ * Refuses the least important waiting items, until the level admits all others
+ * and their number is within the queue bound.
+ */
 static void
 evict (struct jl_core *core)
 {
@@ -294,8 +297,8 @@
 }
 
 /*
- * Moves deferred items back to the queue, up to and including the first that is
- * still suspect.
+ * Moves deferred items back to the queue, up to and including the first item
+ * that is still suspect.
  */
 static void
 release_deferred (struct jl_core *core)
@@ -329,7 +332,10 @@
   jl_guard_run (core, work);
 }
 
-/* Whether an item has to wait because only one suspect request may run. */
+/*
+ * Whether an item has to wait because it is suspect and a suspect request is
+ * running.
+ */
 static bool
 waits_for_suspect (struct jl_core *core, const struct jl_work *work)
 {
@@ -355,6 +361,7 @@
     start_work (core, work);
 }
 
+/* Starts waiting items in free slots. */
 static void
 start_waiting (struct jl_core *core)
 {
@@ -389,7 +396,7 @@
   start_waiting (core);
 }
 
-/* Refuses an item that misses its deadline after a wait of @wait_us. */
+/* Refuses an item that cannot meet its deadline after a wait of @wait_us. */
 static void
 refuse_for_deadline (struct jl_core *core,
                      struct jl_work *work,
@@ -478,6 +485,10 @@
     }
 }
 
+/*
+ * Whether an item was refused in this window, or the mean wait of the started
+ * items exceeds the allowed wait.
+ */
 static bool
 is_overloaded (const struct jl_core *core)
 {
@@ -490,7 +501,7 @@
                 > allowed_wait_us (core);
 }
 
-/* Whether the queue got shorter in this window and no item was refused. */
+/* Whether the queue became shorter in this window and no item was refused. */
 static bool
 is_queue_shrinking (struct jl_core *core)
 {
--- a/source/core/admit.h
+++ b/source/core/admit.h
@@ -17,7 +17,7 @@
 
 /**
  * jl_admit_set_slots - sets the number of slots that the own target announced
- * @slots: concurrent requests that the target accepts; 0 when it is gone
+ * @slots: concurrent requests that the target accepts; 0 while it is down
  */
 void jl_admit_set_slots (struct jl_core *core, uint32_t slots);
 
@@ -28,8 +28,8 @@
 
 /**
  * jl_admit_done - frees the slot of a running item that has ended
- * @latency_us: latency of the target's answer, or 0 if the run did not end
- *              with an answer and must not count as a latency sample
+ * @latency_us: latency of the target's answer; 0 if there was no answer, so
+ * that the run is no latency sample
  */
 void
 jl_admit_done (struct jl_core *core, struct jl_work *work, uint64_t latency_us);
@@ -72,7 +72,7 @@
 uint32_t jl_admit_running (struct jl_core *core);
 
 /**
- * jl_admit_waiting - returns the number of items that wait in either queue
+ * jl_admit_waiting - returns the number of queued and deferred items
  */
 uint32_t jl_admit_waiting (struct jl_core *core);
 
--- a/source/core/attempt-table.c
+++ b/source/core/attempt-table.c
@@ -4,14 +4,15 @@
 
 #include "attempt-table.h"
 
-/* Time for which an attempt is remembered; none is expected to arrive later. */
+/* Retention time of an entry; no copy of an attempt is expected to arrive
+ * later. */
 #define ATTEMPT_RETENTION_US (120 * JL_USEC_PER_SEC)
 
 /**
  * struct attempt_entry - a received attempt
  * @work: number of its work item, 0 for none
  * @arrived_us: time of its arrival, or of the last renewal of the entry
- * @order: link in the list by @arrived_us, used for expiry
+ * @order: node in jl_attempt_table.order
  */
 struct attempt_entry
 {
@@ -22,6 +23,11 @@
   struct cds_list_head order;
 };
 
+/**
+ * struct jl_attempt_table - attempts received by this daemon
+ * @entries: maps attempts to struct attempt_entry
+ * @order: entries ordered by attempt_entry.arrived_us, oldest first
+ */
 struct jl_attempt_table
 {
   GHashTable *entries;
--- a/source/core/attempt-table.h
+++ b/source/core/attempt-table.h
@@ -4,17 +4,18 @@
 /**
  * DOC: The table of attempts that this daemon has received.
  *
- * It detects duplicates, and it keeps an attempt from running that arrives
- * after its cancellation.
+ * The table detects duplicate attempts and prevents the run of an attempt that
+ * arrives after its cancellation.
  */
 
 #include "core-impl.h"
 
 /**
  * enum jl_attempt_state - state of an attempt at the receiving daemon
- * @JL_ATTEMPT_UNKNOWN: it has not arrived, or its entry has expired
- * @JL_ATTEMPT_ACCEPTED: it is queued, running or ended
- * @JL_ATTEMPT_TOMBSTONE: it was refused or cancelled and will never run
+ * @JL_ATTEMPT_UNKNOWN: the attempt has not arrived, or its entry has expired
+ * @JL_ATTEMPT_ACCEPTED: the attempt is queued, running or ended
+ * @JL_ATTEMPT_TOMBSTONE: the attempt was refused or cancelled and will never
+ * run
  */
 enum jl_attempt_state
 {
--- a/source/core/cancel.c
+++ b/source/core/cancel.c
@@ -4,13 +4,13 @@
 
 #include "cancel.h"
 
-/* Delay before the second cancellation; it doubles with each further one. */
+/* Delay before the second cancellation; it doubles for each further one. */
 #define BACKOFF_MIN_US (20 * JL_USEC_PER_MSEC)
 /* Maximum number of cancellations for one attempt. */
 #define SEND_COUNT_MAX 10
 /*
- * Maximum number of attempts whose cancellation is repeated at a time. Beyond
- * it, an attempt gets a single cancellation.
+ * Maximum number of attempts whose cancellation is being repeated. Further
+ * attempts get a single cancellation each.
  */
 #define PENDING_CANCEL_MAX 4096
 
@@ -30,7 +30,7 @@
 
 struct jl_cancel_table
 {
-  GHashTable *pending; /* attempt number to struct pending_cancel */
+  GHashTable *pending; /* maps attempt numbers to struct pending_cancel */
 };
 
 struct jl_cancel_table *
--- a/source/core/cancel.h
+++ b/source/core/cancel.h
@@ -4,8 +4,8 @@
 /**
  * DOC: Cancellations of attempts at the daemons that received them.
  *
- * Control messages may be lost. A cancellation whose reply decides nothing at
- * the sender is therefore repeated until a reply arrives.
+ * Control messages may be lost. The cancellation of a forwarded call, whose
+ * reply no call waits for, is therefore repeated until a reply arrives.
  */
 
 #include "core-impl.h"
@@ -25,14 +25,15 @@
  * jl_cancel_send_until_answered - sends cancellations until a reply arrives
  * @to: identity of the daemon to which @attempt was sent
  *
- * The number of cancellations is limited.
+ * The number of cancellations per attempt is limited.
  */
 void jl_cancel_send_until_answered (struct jl_core *core,
                                     struct jl_identity to,
                                     struct jl_attempt_id attempt);
 
 /**
- * jl_cancel_answered - stops cancellations of @attempt after any reply to one
+ * jl_cancel_answered - stops the cancellations of @attempt after a reply to one
+ * of them
  */
 void jl_cancel_answered (struct jl_core *core, struct jl_attempt_id attempt);
 
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -28,9 +28,10 @@
  * struct jl_target - state of the own target
  * @service: index of its service in the configuration; JL_NONE if not in it
  * @slots: number of requests that it accepts at a time
- * @started: start time of its process, which tells two processes apart
+ * @started: start time of its process, which distinguishes the process from
+ *           earlier ones
  * @announced_us: time of the last announcement
- * @up: whether it was announced and has not failed or left since
+ * @up: whether it was announced and has neither failed nor left since
  * @lease_timer: expires when announcements stop
  */
 struct jl_target
@@ -47,7 +48,8 @@
 
 /**
  * enum jl_call_state - state of a call at its entry
- * @JL_CALL_IDLE: no attempt is in progress
+ * @JL_CALL_IDLE: no attempt is in progress: the call is new or about to be
+ *                retried
  * @JL_CALL_CLAIMING: waiting for JL_EVENT_CLAIM_RESULT
  * @JL_CALL_SENT: an attempt is in progress
  * @JL_CALL_FORWARDED: forwarded to the minter of its ticket
@@ -67,26 +69,30 @@
  * @config: configuration that @kind is an index into
  * @parent: work item whose run makes the call; NULL for a call of an external
  *          caller
- * @siblings: node in the list of children of @parent
+ * @siblings: node in the list jl_work.children of @parent
  * @at_most_once: the request may run at most once, as granted under @ticket
  * @has_key: the caller sent an idempotency key, and may have sent the request
  *           before
  * @forwarded: another daemon forwarded the call to this one
  * @may_have_run: whether an attempt may have run
- * @invested_us: work already done for the request up the chain
+ * @anchor: ticket from which the tickets of calls further down the tree are
+ *          derived
+ * @invested_us: time already spent on the request by the daemons upstream
  * @tokens: retry tokens of a call without @parent; a call with a parent uses
  *          the parent's
  * @tokens_initial: initial value of @tokens
  * @tokens_lent: part of @tokens that is lent to the attempt in progress
  * @attempt_tokens: tokens lent to the attempt in progress, from this pool or
  * the parent's
- * @sends: number of attempts so far
+ * @sends: number of attempts that were sent to a target so far
  * @attempt: ID of the attempt in progress
  * @sent_us: when the attempt was sent
  * @member: member that the attempt was sent to
- * @member_epoch: epoch of that daemon's process
- * @tried: members that must not be tried again
+ * @member_epoch: epoch of the process of @member
+ * @tried: members that must not be tried again, the first @tried_count elements
  * @last_reason: why the last attempt was refused or failed
+ * @last_retry_after_ms: retry delay that the last refusal asked for
+ * @timer: timeout of the current state, or delay of a retry
  */
 struct jl_call
 {
@@ -117,6 +123,7 @@
   uint64_t sent_us;
   uint64_t member;
   uint64_t member_epoch;
+/* Maximum number of members that are remembered as tried. */
 #define JL_TRIED_MAX 8
   uint32_t tried_count;
   uint64_t tried[JL_TRIED_MAX];
@@ -127,6 +134,8 @@
 
 /**
  * enum jl_work_state - state of a work item at its guard
+ * @JL_WORK_WAITING: waiting for admission
+ * @JL_WORK_RUNNING: running at the own target
  */
 enum jl_work_state
 {
@@ -136,18 +145,19 @@
 
 /**
  * struct jl_work - an attempt at its guard
- * @invested_us: work already done for the request up the chain
- * @target_started: start time of the target process that runs it
+ * @invested_us: time already spent on the request by the daemons upstream
+ * @target_started: start time of the target process that runs the item
  * @tokens: retry tokens for the calls in @children
  * @tokens_initial: initial value of @tokens
  * @tokens_lent: part of @tokens that is lent to attempts of these calls
- * @cancelled: the sender no longer needs the result
- * @deferred: waits until another suspect request has ended
- * @suspect: its content had a strike when it started; see poison.h
- * @queue: node in an admission queue while it waits
+ * @cancelled: whether the sender has cancelled the attempt
+ * @deferred: whether the item waits until another suspect request has ended
+ * @suspect: whether its content had a strike when it started; see poison.h
+ * @queue: node in an admission queue while the item waits
  * @children: calls made by the target during the run, linked by
  *            jl_call.siblings
  * @report: levels of services further down, from the answers to @children
+ * @timer: fires when the item can no longer start in time
  */
 struct jl_work
 {
@@ -177,7 +187,8 @@
 };
 
 /**
- * struct jl_counts - counters of events and decisions, some of them by class
+ * struct jl_counts - counters of events and decisions; arrays of JL_CLASS_MAX
+ * elements are indexed by importance class
  */
 struct jl_counts
 {
@@ -199,18 +210,21 @@
 /**
  * struct jl_core - state of the reducer
  * @now_us: time of the event being handled
- * @stale_until_us: after a pause of the process, requests that arrive before
- *                  this time may have been delayed for long
+ * @stale_until_us: after a pause of the process, requests that are read before
+ *                  this time may have waited during the pause
  * @effects: effects of the step in progress
- * @exit_emitted: JL_EFFECT_EXIT was emitted
+ * @exit_emitted: whether JL_EFFECT_EXIT was emitted
  * @drain_notice_timer: runs while a draining daemon waits for its peers to
  *                      learn that it drains
  * @drain_refuse_from_us: external calls are refused from this time on while
  *                        draining
- * @root_calls: number of calls without a parent in progress
- * @calls: number to struct jl_call
- * @works: number to struct jl_work
- * @cancelling: attempt number to struct jl_call
+ * @last_attempt: number of the last attempt that was started
+ * @root_calls: number of calls in progress that have no parent
+ * @calls: maps call numbers to struct jl_call
+ * @works: maps work item numbers to struct jl_work
+ * @cancelling: maps attempt numbers to calls in state JL_CALL_CANCELLING
+ * @attempt_table: attempts received by this daemon
+ * @cancel_table: cancellations that got no reply yet
  */
 struct jl_core
 {
@@ -227,7 +241,7 @@
   bool exit_emitted;
   struct jl_timer drain_notice_timer;
   uint64_t drain_refuse_from_us;
-  uint64_t next_attempt;
+  uint64_t last_attempt;
   uint32_t root_calls;
   GHashTable *calls;
   GHashTable *works;
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -18,7 +18,7 @@
 #include "poison.h"
 #include "retry.h"
 
-/* A timer that is later than this shows that the process was paused. */
+/* If a timer fires later than this, the process counts as paused meanwhile. */
 #define PAUSE_MIN_US (500 * JL_USEC_PER_MSEC)
 /* Time after a pause within which all input that arrived during it is read. */
 #define STALE_INPUT_US (1 * JL_USEC_PER_SEC)
@@ -212,8 +212,8 @@
 }
 
 /*
- * Detects by a late timer that the process was paused, and treats input as
- * stale for a while.
+ * Detects from a late timer that the process was paused. Input then counts as
+ * stale for STALE_INPUT_US.
  */
 static void
 detect_pause (struct jl_core *core)
--- a/source/core/entry-impl.h
+++ b/source/core/entry-impl.h
@@ -37,8 +37,8 @@
 void jl_entry_report_level (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_call_receiver - returns the identity of the daemon that got the attempt in
- * progress
+ * jl_call_receiver - returns the identity of the daemon to which the attempt in
+ * progress was sent
  */
 struct jl_identity jl_call_receiver (const struct jl_call *call);
 
@@ -48,7 +48,7 @@
 void jl_entry_send_cancel (struct jl_core *core, const struct jl_call *call);
 
 /**
- * jl_entry_record_result - reports the result of the attempt in progress to
+ * jl_entry_record_result - passes the result of the attempt in progress to
  * placement
  */
 void jl_entry_record_result (struct jl_core *core,
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -20,12 +20,12 @@
  */
 #define CANCEL_ATTEMPT_AGE_MAX_US (100 * JL_USEC_PER_SEC)
 /*
- * Delay before the retry of a request that got a strike, so that the other
- * guards learn of the strike first.
+ * Delay before the retry of a request that got a strike. In this time the other
+ * guards are notified of the strike.
  */
 #define STRIKE_RETRY_DELAY_US (5 * JL_USEC_PER_MSEC)
 
-/* Retries the call on another target if a retry is allowed, or ends it. */
+/* Retries the call on another target, or ends it if no retry is allowed. */
 static void
 retry_or_finish (struct jl_core *core,
                  struct jl_call *call,
@@ -53,6 +53,7 @@
   jl_cancel_send (core, jl_call_receiver (call), call->attempt);
 }
 
+/* Ends a call whose attempt was not confirmed as cancelled. */
 static void
 finish_uncancelled (void *context, struct jl_timer *timer)
 {
@@ -117,7 +118,7 @@
   retry_or_finish (core, call, JL_REASON_POISON, false);
 }
 
-/* The target crashed while it ran this call, which may be the cause. */
+/* Handles a crash of the target during the call, which may have caused it. */
 static void
 handle_strike (struct jl_core *core, struct jl_call *call)
 {
@@ -133,7 +134,7 @@
   jl_timer_start (core->timers, &call->timer, due_us, retry_after_strike, core);
 }
 
-/* Handles the guard's answer. */
+/* Handles the guard's answer to an attempt. */
 static void
 handle_answer (struct jl_core *core,
                struct jl_call *call,
@@ -204,7 +205,8 @@
     }
 }
 
-/* Handles the end of a forward: the ticket's minter answered, or is lost. */
+/* Handles the end of a forwarded attempt: an answer of the minter, or a
+ * failure. */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
--- a/source/core/entry-send.c
+++ b/source/core/entry-send.c
@@ -11,20 +11,20 @@
 #include "poison.h"
 #include "retry.h"
 
-/* Starts an attempt under a number that is never reused. */
+/* Starts an attempt: assigns a number that is never reused and lends tokens. */
 static void
 start_attempt (struct jl_core *core, struct jl_call *call)
 {
   call->sent_us = core->now_us;
   call->attempt.origin = core->identity;
-  call->attempt.number = ++core->next_attempt;
+  call->attempt.number = ++core->last_attempt;
   call->attempt_tokens = jl_retry_lend (core, call);
   core->counts.sends++;
 }
 
 /*
- * Answers a call that could not be forwarded. It was not run, but other
- * transmissions of the request may have been.
+ * Answers a call that could not be forwarded. The call did not run, but other
+ * transmissions of the request may have run.
  */
 static void
 answer_not_forwarded (struct jl_core *core,
@@ -110,8 +110,8 @@
 }
 
 /*
- * Refuses a call before its first attempt, because @service, further down the
- * call graph, would refuse it. Nothing has run yet.
+ * Refuses a call before its first attempt because @service, further down the
+ * call graph, would refuse it. No part of the request has run at that point.
  */
 static void
 refuse_for_downstream (struct jl_core *core,
--- a/source/core/entry-stop.c
+++ b/source/core/entry-stop.c
@@ -61,7 +61,7 @@
   g_list_free (calls);
 }
 
-/* Cancels a call whose answer is no longer awaited, and frees it. */
+/* Cancels and frees a call whose originator no longer waits for the answer. */
 static void
 cancel_call (struct jl_core *core, struct jl_call *call)
 {
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -33,7 +33,7 @@
   return call->priority / JL_SAMPLE_COUNT;
 }
 
-/* Answers a call that is refused before a struct jl_call exists for it. */
+/* Refuses a call for which no struct jl_call has been created. */
 static void
 refuse_event (struct jl_core *core,
               const struct jl_event_call *event,
@@ -53,7 +53,7 @@
   answer->tokens = event->forwarded ? event->tokens : 0;
   /*
    * The caller may have sent the request before, or an earlier attempt of the
-   * parent may have made the same call; that one may have run.
+   * parent may have made the same call. That earlier call may have run.
    */
   if (event->key_type != JL_KEY_NONE || event->parent != 0)
     answer->outcome = JL_OUTCOME_UNKNOWN;
@@ -284,8 +284,8 @@
 
 /*
  * Answers a call that may have waited in the socket while the process was
- * paused. Its caller may have given up and may already have got an answer to a
- * later transmission.
+ * paused. Its caller may have abandoned it and may already have received an
+ * answer to a later transmission.
  */
 static void
 answer_stale (struct jl_core *core, struct jl_call *call)
@@ -300,7 +300,7 @@
 
 /*
  * Whether a forwarded call was abandoned by the daemon that forwarded it. If
- * not, its attempt is recorded as accepted.
+ * the call was not abandoned, its attempt is recorded as accepted.
  */
 static bool
 is_abandoned (struct jl_core *core, const struct jl_event_call *event)
@@ -342,9 +342,9 @@
 
 /*
  * Whether the limit on concurrent calls is reached for this importance class.
- * The most important class may use all of the call_max option; the share falls
- * linearly to a little over half for the least important class. A class is thus
- * refused only while all less important classes are refused too.
+ * The most important class may use the whole limit, call_max. The share of a
+ * class falls linearly to a little over half for the least important class. A
+ * class is thus refused only while all less important classes are refused too.
  */
 static bool
 is_call_limit_reached (const struct jl_core *core,
--- a/source/core/entry.h
+++ b/source/core/entry.h
@@ -21,8 +21,8 @@
                       const struct jl_event_call_result *event);
 
 /**
- * jl_entry_caller_disconnected - cancels @call, whose answer is no longer
- * awaited
+ * jl_entry_caller_disconnected - cancels the call with number @call, whose
+ * originator no longer waits for the answer
  */
 void jl_entry_caller_disconnected (struct jl_core *core, uint64_t call);
 
@@ -39,8 +39,8 @@
                             const struct jl_message *message);
 
 /**
- * jl_entry_work_ended - cancels the calls that @work made; it has ended or was
- * cancelled
+ * jl_entry_work_ended - cancels the calls that were made by @work, which has
+ * ended or was cancelled
  */
 void jl_entry_work_ended (struct jl_core *core, struct jl_work *work);
 
@@ -48,7 +48,7 @@
  * jl_entry_member_lost - retries the idempotent calls that were sent to
  * @member, which no longer responds
  *
- * A call that gets no retry token stays where it is.
+ * Calls that are not allowed a retry keep waiting for their attempt.
  */
 void jl_entry_member_lost (struct jl_core *core, uint64_t member);
 
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -8,21 +8,26 @@
 
 /* A reported level is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* The level of a service is the highest report in this or the last span. */
+/* The level of a service is the highest one reported in this or the last span.
+ */
 #define LEVEL_SPAN_US (50 * JL_USEC_PER_MSEC)
-/* An older level still applies, but is probed; it expires at this age. */
+/* An older level still applies, but is probed, until it expires at this age. */
 #define LEVEL_EXPIRY_US (3 * JL_USEC_PER_SEC)
 /*
- * Interval between two probes of a daemon. It grows by its length for every
- * PROBE_DAEMONS members, to limit the rate of probes of all daemons together.
+ * Interval between two probes that one daemon sends. For every PROBE_DAEMONS
+ * members it grows by this length, which limits the total rate of probes of all
+ * daemons.
  */
 #define PROBE_INTERVAL_US (50 * JL_USEC_PER_MSEC)
 #define PROBE_DAEMONS 16
-/* A service counts as reached by a kind from this share of its answers on. */
+/*
+ * A service counts as reached by a kind if at least this share of the kind's
+ * answers went through it.
+ */
 #define REACH_PERCENT 90
 /*
- * The share counts as known from the minimum number of answers on. At the
- * maximum all counts are halved, so that older answers lose weight.
+ * The share counts as known if there are at least ANSWERS_MIN answers. At
+ * ANSWERS_MAX answers all counts are halved, so that older answers lose weight.
  */
 #define ANSWERS_MIN 4
 #define ANSWERS_MAX 64
@@ -31,7 +36,7 @@
  * struct service_level - admission level of a service, as reported by answers
  * @span_started_us: start of the current span
  * @level: highest level reported in the current span
- * @previous_level: highest level reported in the span before; 0 for none
+ * @previous_level: highest level reported in the previous span; 0 for none
  * @reported_us: time of the last report; 0 if there was none
  * @next_probe_us: earliest time of the next probe
  */
@@ -47,7 +52,7 @@
 /**
  * struct reach - which services the requests of a kind reach
  * @answers: number of answered requests
- * @reached: number of these that went through each service
+ * @reached: number of these requests that went through each service
  */
 struct reach
 {
@@ -146,7 +151,7 @@
   return MAX (known->level, known->previous_level);
 }
 
-/* Whether to let a request through as a probe of an old level. */
+/* Whether to admit a request as a probe of an old level. */
 static bool
 take_probe (struct jl_core *core, struct service_level *known)
 {
--- a/source/core/graph.h
+++ b/source/core/graph.h
@@ -9,8 +9,8 @@
  * through. A call is refused early if a service refuses its priority and
  * nearly all requests of its kind reach that service. A service that only some
  * requests reach is not considered; its own guards refuse the excess. A
- * reported level is trusted for a short time. After that it still applies, but
- * a request is let through now and then as a probe, until the level expires.
+ * reported level is trusted for a short time. After that it still applies until
+ * it expires, but a request is admitted at intervals as a probe.
  */
 
 #include "core-impl.h"
@@ -28,7 +28,8 @@
 /**
  * jl_graph_learn - updates the graph from the report of an answer
  * @kind: kind of the call that was answered
- * @outcome: outcome of the call; only answered calls count for reachability
+ * @outcome: outcome of the call; only calls with JL_OUTCOME_DONE count for
+ *           reachability
  */
 void jl_graph_learn (struct jl_core *core,
                      uint32_t kind,
@@ -55,7 +56,7 @@
 /**
  * jl_report_merge - adds the items of @from to @into
  *
- * The higher level is kept for a service that is in both.
+ * If a service is in both reports, the higher level is kept.
  */
 void jl_report_merge (struct jl_report *into, const struct jl_report *from);
 
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -14,7 +14,7 @@
 #include "once.h"
 #include "poison.h"
 
-/* The target counts as down when it has not announced itself for this long. */
+/* The target counts as down if it does not announce itself for this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
 /*
  * A draining daemon keeps refusing work for at least this long, so that its
@@ -22,11 +22,14 @@
  */
 #define DRAIN_NOTICE_US (2 * JL_USEC_PER_SEC)
 /*
- * A draining daemon accepts calls as an entry for at most this long, if there
- * are always calls in progress.
+ * Maximum time for which a draining daemon accepts calls from callers. It exits
+ * earlier if no call is in progress.
  */
 #define DRAIN_ENTRY_MAX_US (30 * JL_USEC_PER_SEC)
-/* Retry delay, plus up to 100% of jitter, of refusals not due to overload. */
+/*
+ * Retry delay of an attempt that is refused before admission. Up to 100% of
+ * jitter is added.
+ */
 #define RETRY_AFTER_BASE_MS 500
 
 static const struct jl_kind *
@@ -350,7 +353,7 @@
   struct jl_work *work
       = g_hash_table_lookup (core->works, JL_HASH_KEY (number));
 
-  /* This process does not know what an earlier process of the daemon ran. */
+  /* An earlier process of this daemon may have run the attempt. */
   if (message->to.epoch != core->identity.epoch)
     {
       answer_cancel (core, message, JL_MESSAGE_CANCEL_LATE);
@@ -377,8 +380,8 @@
 }
 
 /*
- * Only makes the reducer run a step: jl_guard_check_drained() is called at the
- * end of each.
+ * Does nothing. The timer only makes the reducer run a step, at the end of
+ * which jl_guard_check_drained() is called.
  */
 static void
 handle_drain_notice_end (void *context G_GNUC_UNUSED,
--- a/source/core/guard.h
+++ b/source/core/guard.h
@@ -5,8 +5,8 @@
  * DOC: The guard: all requests to the own target pass through it.
  *
  * The guard tracks the target's announcements, accepts work items from the
- * entries of this and other daemons, hands them to admission control, and
- * reports the result of each to its sender.
+ * entries of this and other daemons, submits them to admission control, and
+ * reports the result of each item to its sender.
  */
 
 #include "core-impl.h"
@@ -21,7 +21,8 @@
                         const struct jl_event_announce *announce);
 
 /**
- * jl_guard_target_leave - marks the target down after it said that it leaves
+ * jl_guard_target_leave - marks the target as down after it has announced that
+ * it takes no more requests
  */
 void jl_guard_target_leave (struct jl_core *core);
 
@@ -59,7 +60,8 @@
 
 /**
  * jl_guard_refuse - ends a waiting work item without running it
- * @retry_after_ms: delay that the sender is told to wait before a retry
+ * @retry_after_ms: delay after which the sender should retry, 0 if not
+ * specified
  */
 void jl_guard_refuse (struct jl_core *core,
                       struct jl_work *work,
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -11,18 +11,20 @@
 #define ADMITTED_WEIGHT_SHIFT 2
 /*
  * Weight of the newest window above the level: 1/64. The average decays more
- * slowly there, since refused callers back off and are not seen for a while.
+ * slowly there, since refused callers back off and send no requests for a
+ * while.
  */
 #define REFUSED_WEIGHT_SHIFT 6
 /* Share of the capacity that is admitted after an overloaded window. */
 #define OVERLOADED_CAPACITY_PERCENT 98
 /*
- * After this many consecutive overloaded windows, the demand admitted is
- * reduced to a share of what was admitted before.
+ * After this many consecutive overloaded windows, the level admits at most the
+ * given share of the demand that was admitted before.
  */
 #define PERSISTENT_OVERLOAD_WINDOWS 3
 #define PERSISTENT_OVERLOAD_DEMAND_PERCENT 95
-/* The first step up, in priorities. Each further step is twice as large. */
+/* First increase of the level, in priorities. Each further one is twice as
+ * large. */
 #define STEP_MIN 8
 #define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
@@ -36,8 +38,8 @@
  * @refusals: number of refusals in this window
  * @refused_permille: moving average of the share of arrivals that were refused
  * @arrived: arrivals in this window by priority
- * @demand: fixed-point moving average of the arrivals per window by
- *          priority
+ * @demand: moving average of the arrivals per window by priority, in fixed
+ * point
  */
 struct jl_level
 {
@@ -119,7 +121,7 @@
     }
 }
 
-/* Returns the highest level at which the demand admitted fits @capacity. */
+/* Returns the highest level at which the admitted demand fits @capacity. */
 static uint32_t
 highest_level_within (const struct jl_level *level, uint64_t capacity)
 {
--- a/source/core/level.h
+++ b/source/core/level.h
@@ -6,9 +6,9 @@
  *
  * A smaller value is more important. Arrivals are counted by priority in short
  * control windows. After an overloaded window the level is lowered until the
- * arrivals below it fit the measured capacity. After other windows it is
- * raised in growing steps, as far as the arrivals most recently counted above
- * it fit too.
+ * arrivals below it fit the measured capacity. After a window without overload
+ * or backlog it is raised in growing steps, as far as the capacity also covers
+ * the average arrivals of the added priorities.
  */
 
 #include "core-impl.h"
@@ -36,7 +36,7 @@
 /**
  * jl_level_count_refusal - counts an overload refusal
  *
- * Lowers the level so that no less important item is admitted before the
+ * Lowers the level, so that no less important item is admitted before the
  * window ends.
  */
 void jl_level_count_refusal (struct jl_level *level, uint32_t priority);
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -5,11 +5,14 @@
 
 #include "limit.h"
 
-/* A new target starts with its slots divided by this. */
+/* Divisor of the slots for the initial limit of a new target. */
 #define COLD_START_DIVISOR 8
-/* The limit is never below the slots divided by this. */
+/* Divisor of the slots for the minimum of the limit. */
 #define MIN_LIMIT_DIVISOR 4
-/* The target counts as unloaded up to its slots divided by this. */
+/*
+ * Divisor of the slots for the number of requests in progress up to which the
+ * target counts as unloaded.
+ */
 #define UNLOADED_DIVISOR 4
 /* The newest sample has a weight of 1/32 in the moving averages. */
 #define MEAN_WEIGHT_SHIFT 5
@@ -32,8 +35,9 @@
  */
 #define RATE_TOLERANCE_PERCENT 8
 /*
- * Number of windows without trials after a lower limit brought no improvement.
- * It doubles with each further failure, up to the maximum.
+ * Number of windows without trials after a trial of a lower limit failed to
+ * improve the throughput. It doubles with each further failure, up to the
+ * maximum.
  */
 #define TRIAL_PAUSE_WINDOWS 200
 #define TRIAL_PAUSE_WINDOWS_MAX 6400
@@ -46,7 +50,8 @@
  *              started under the previous limit
  * @count: completions counted after that
  * @started_us: when counting started
- * @used_us: time for which slots were in use since then, summed over all slots
+ * @used_us: time for which slots were in use since @started_us, summed over all
+ *           slots
  */
 struct trial
 {
@@ -58,15 +63,16 @@
 
 /**
  * struct jl_limit - the limit and the measurements behind it
- * @cold_start_limit: limit by the age of the target process
- * @adaptive_limit: limit by the measured latency and throughput
+ * @cold_start_limit: limit that results from the age of the target process
+ * @adaptive_limit: limit that results from the measured latency and throughput
  * @started_us: when the target process was first announced
  * @mean_hold_us: moving average of the time for which a request holds its slot
  * @mean_latency_us: moving average of the latency of answers
  * @baseline_latency_us: moving average of the latency of answers without load
- * @running: requests in progress since @running_us
+ * @running: number of requests in progress
+ * @running_us: time of the last change of @running
  * @previous_rate: throughput at the previous limit in requests per second; 0 if
- *                 there is none to compare with
+ *                 it was not measured
  * @upward: whether the last step raised the limit
  * @windows_without_overload: consecutive windows without overload
  * @pause_windows: remaining windows in which no trial takes place
@@ -239,7 +245,7 @@
 
 /*
  * Tries a lower limit if the target is slow with all of its slots in use.
- * Pauses the trials if the previous one led back to all slots.
+ * Pauses the trials if the previous trial ended with all slots in use again.
  */
 static void
 evaluate_at_slots (struct jl_limit *limit, uint64_t rate)
--- a/source/core/limit.h
+++ b/source/core/limit.h
@@ -46,7 +46,7 @@
  * jl_limit_done - records the end of a request
  * @hold_us: time for which the request held its slot
  * @latency_us: latency of the answer; 0 when there was no answer
- * @running: requests in progress at its end, including this one
+ * @running: requests in progress when it ended, including this request
  */
 void jl_limit_done (struct jl_limit *limit,
                     uint64_t hold_us,
@@ -69,8 +69,8 @@
 jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded);
 
 /**
- * jl_limit_settled - whether the limit equals the slots, and so does not change
- * without traffic
+ * jl_limit_settled - whether the limit equals the slots and therefore does not
+ * change without traffic
  */
 bool jl_limit_settled (const struct jl_limit *limit);
 
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -12,14 +12,15 @@
 #include "entry.h"
 
 /*
- * Time for which the state of a used ticket is kept, and for which an unused
- * ticket is valid.
+ * Retention time of the state of a used ticket, and validity of an unused
+ * ticket.
  */
 #define TICKET_RETENTION_US (600 * JL_USEC_PER_SEC)
 /* Maximum number of used tickets; beyond it the oldest expire early. */
 #define TICKET_MAX (256 * 1024)
 /* Interval at which the highest number minted so far is recorded. */
 #define MINT_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
+/* Maximum number of such records. */
 #define MINT_MARK_MAX 64
 /* The key table is a cache; the platform's table is authoritative. */
 #define KEY_RETENTION_US (600 * JL_USEC_PER_SEC)
@@ -31,7 +32,7 @@
 
 /**
  * enum ticket_state - state of a used ticket
- * @TICKET_IDLE: no attempt under it has run
+ * @TICKET_IDLE: no run under the ticket has taken place or is in progress
  * @TICKET_IN_PROGRESS: a run is granted and has not ended
  * @TICKET_DONE: the request ran and was answered completely
  * @TICKET_UNKNOWN: the request may have run and is never sent again
@@ -46,13 +47,14 @@
 
 /**
  * struct ticket_entry - a used ticket
- * @may_have_run: a granted run was not confirmed as not run
- * @reason: why the request was not run, with TICKET_IDLE
+ * @may_have_run: whether a granted run may have taken place
+ * @reason: why the last granted run did not take place, with TICKET_IDLE
  * @digest: digest of the request's content
  * @tokens: retry tokens that the request has left
- * @regrant_after_us: no run is granted before, see jl_once_record_outcome()
+ * @regrant_after_us: time before which no run is granted, see
+ *                    jl_once_record_outcome()
  * @ended_us: time at which its last granted run ended
- * @order: link in the list by @ended_us; unlinked while a run is in progress
+ * @order: node in jl_once.order, unlinked while a run is in progress
  */
 struct ticket_entry
 {
@@ -69,6 +71,7 @@
 
 /**
  * struct key_entry - a caller's key and its ticket
+ * @order: node in jl_once.key_order
  */
 struct key_entry
 {
@@ -145,7 +148,8 @@
   g_free (once);
 }
 
-/* Expires ticket numbers by the mint marks that are past their time. */
+/* Expires the ticket numbers up to the last mint mark past its retention time.
+ */
 static void
 expire_mint_marks (struct jl_core *core)
 {
@@ -205,9 +209,9 @@
 }
 
 /*
- * Removes used tickets that are past their time or in excess of the maximum.
- * Their numbers, and all lower ones, expire, so that an unused ticket with such
- * a number isn't valid any more either.
+ * Removes used tickets that are past their retention time or exceed the
+ * maximum. Their numbers and all lower numbers expire, so that unused tickets
+ * with such numbers become invalid too.
  */
 static void
 expire_tickets (struct jl_core *core)
@@ -265,7 +269,11 @@
   expire_tickets (core);
 }
 
-/* Answers a call that may not be sent. Returns false for jl_once_grant(). */
+/*
+ * Answers a call that may not be sent.
+ *
+ * Return: false, the result of jl_once_grant().
+ */
 static bool
 answer_ungranted (struct jl_core *core,
                   struct jl_call *call,
@@ -292,7 +300,7 @@
          && ticket.number > core->once->expired_upto;
 }
 
-/* Answers a request whose last outcome, "not run", is still recent. */
+/* Answers a request that is repeated before its retry delay is over. */
 static bool
 answer_before_regrant (struct jl_core *core,
                        struct jl_call *call,
@@ -331,7 +339,7 @@
     }
   if (core->now_us < entry->regrant_after_us)
     return answer_before_regrant (core, call, entry);
-  /* A call below the root of its tree uses tokens that the tree lent to it. */
+  /* A call below the root of its tree uses the tokens of its parent instead. */
   if (call->ticket.branch == 0)
     call->tokens = MIN (call->tokens, entry->tokens);
   grant (entry);
@@ -391,7 +399,10 @@
   g_hash_table_remove (once->keys, JL_HASH_KEY (entry->key_hash));
 }
 
-/* Removes keys that are past their time, and the oldest beyond the maximum. */
+/*
+ * Removes keys that are past their retention time, and the oldest keys in
+ * excess of the maximum.
+ */
 static void
 expire_keys (struct jl_core *core)
 {
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -5,8 +5,9 @@
  * DOC: At-most-once execution of requests that are not idempotent.
  *
  * A ticket identifies a request. Only the daemon that minted the ticket grants
- * runs under it: one at a time, and none after a run that may have taken place.
- * If that daemon fails or restarts, no run is granted any more.
+ * runs under it: one run at a time, and no further run after one that may have
+ * taken place. If that daemon fails or restarts, no more runs are granted under
+ * the ticket.
  */
 
 #include "core-impl.h"
@@ -43,7 +44,7 @@
 /**
  * jl_once_record_outcome - records the final outcome of a granted run
  * @outcome: after JL_OUTCOME_NOT_RUN another run may be granted
- * @retry_after_ms: retry delay that the caller will be given
+ * @retry_after_ms: proposed retry delay for the caller
  *
  * After JL_OUTCOME_NOT_RUN no run is granted until the retry delay is over: a
  * transmission that arrives earlier may be one that its caller has abandoned.
@@ -58,6 +59,7 @@
 
 /**
  * jl_once_find_key - looks up the ticket of a caller's key
+ * @ticket: set to the ticket, if the key is found
  *
  * Return: false if the key isn't in the local table.
  */
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -11,9 +11,9 @@
 
 /* A level that a member reported is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* An older level is probed, and expires at this age. */
+/* An older level is probed until it expires at this age. */
 #define LEVEL_EXPIRY_US (5 * JL_USEC_PER_SEC)
-/* One in this many calls probes a member whose reported level is old. */
+/* Of this many calls, one probes a member whose reported level is old. */
 #define PROBE_DIVISOR 8
 /* The load that a member reported decays to zero over this time. */
 #define LOAD_DECAY_US (1 * JL_USEC_PER_SEC)
@@ -30,13 +30,14 @@
 #define SUBSET_PERCENT 80
 /* Minimum number of members of a service that each entry uses. */
 #define SUBSET_MEMBERS_MIN 4
-/* A new member counts with its slots divided by this at first. */
+/* Divisor of the slots that a new member counts with at first. */
 #define COLD_START_DIVISOR 4
 /* Interval at which the members are counted. */
 #define COUNT_INTERVAL_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct retry_hint - retry delay that a service last sent with a refusal
+ * struct retry_hint - retry delay of the last overload refusal of a service
+ * @received_us: time of the refusal
  */
 struct retry_hint
 {
@@ -113,7 +114,10 @@
   return jl_random_below (core, PROBE_DIVISOR) != 0;
 }
 
-/* Returns the slots a member counts with, which are fewer while it is new. */
+/*
+ * Returns the number of slots with which the load of a member is computed. It
+ * is reduced during the cold start of the member.
+ */
 static uint64_t
 effective_slots (const struct jl_core *core, const struct jl_member *member)
 {
@@ -281,10 +285,10 @@
 
 /*
  * Collects the members that admit the call as candidates. Members to which an
- * attempt of this daemon has just failed are included if @include_ejected is
- * true.
+ * attempt of this daemon has failed recently are only included if
+ * @include_ejected is true.
  *
- * Return: whether some member was left out because it refuses the call.
+ * Return: whether a member was excluded because it refuses the call's priority.
  */
 static bool
 collect_candidates (struct jl_core *core,
@@ -347,7 +351,7 @@
   if (collect_candidates (core, call, members, false)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
-  /* A failed attempt must not exclude the last target of a service. */
+  /* Ejected members are used if there is no other member of the service. */
   if (!has_candidates (place) && collect_candidates (core, call, members, true)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
--- a/source/core/place.h
+++ b/source/core/place.h
@@ -19,7 +19,8 @@
  * replaced in the subset by the next ones.
  *
  * A member counts as refusing a priority if its last answer reported this a
- * short time ago. An older report is probed with one attempt at a time.
+ * short time ago. After that, one attempt at a time probes the member until the
+ * report expires.
  */
 
 #include "member.h"
@@ -44,7 +45,7 @@
  * jl_place_choose - chooses a member for the next attempt of @call
  * @member: set to the member, if one was chosen
  *
- * Members that @call lists as tried are excluded.
+ * Members in the call's list of tried members are excluded.
  */
 enum jl_place_status jl_place_choose (struct jl_core *core,
                                       const struct jl_call *call,
@@ -69,8 +70,8 @@
 uint32_t jl_place_level (struct jl_core *core, uint32_t service);
 
 /**
- * jl_place_retry_after_ms - returns when to retry a call that every member of a
- * service refuses
+ * jl_place_retry_after_ms - returns the retry delay of a call that every member
+ * of a service refuses
  *
  * Return: the delay with jitter; 0 if no member sent one recently.
  */
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -9,14 +9,14 @@
 #include "admit.h"
 #include "member.h"
 
-/* Content is refused from this many strikes on different targets on. */
+/* Content with strikes on at least this many different targets is refused. */
 #define STRIKE_LIMIT 2
 /* A strike expires after this time. */
 #define STRIKE_EXPIRY_US (300 * JL_USEC_PER_SEC)
 /* Maximum number of records, and of targets in each record. */
 #define RECORD_MAX 2048
 #define RECORD_TARGETS_MAX 4
-/* Number of gossip messages that carry a strike. */
+/* Number of gossip messages in which each strike is sent. */
 #define GOSSIP_MESSAGES_PER_STRIKE 40
 /* Maximum number of records that are searched to fill one message. */
 #define GOSSIP_RECORDS_MAX 64
@@ -40,7 +40,8 @@
 /**
  * struct strike - record that a target died while running the content
  * @target: member ID of the daemon whose target died
- * @gossip_left: number of messages that are still to carry the strike
+ * @gossip_left: number of gossip messages in which the strike is still to be
+ * sent
  */
 struct strike
 {
@@ -51,9 +52,11 @@
 
 /**
  * struct record - strikes against one content
- * @answered_us: when it was last answered here; older strikes do not count
+ * @answered_us: when the content was last answered at this daemon; older
+ * strikes do not count
  * @changed_us: time of the newest strike or answer, from which expiry counts
- * @notify_pending: the daemons of the own service have not been notified yet
+ * @notify_pending: whether the daemons of the own service have yet to be
+ * notified
  * @count: number of entries of @strikes in use
  * @order: node in jl_poison.order
  */
@@ -79,11 +82,11 @@
 
 /**
  * struct jl_poison - all strikes
- * @records: digest to struct record
+ * @records: maps digests to struct record
  * @order: records ordered by @changed_us, oldest first
  * @has_blamed_process: whether @blamed_started is set
- * @blamed_started: start time of the last target process that died while a
- *                  suspect request ran; only this request gets a strike for it
+ * @blamed_started: start time of the last target process whose death is
+ * attributed to a suspect request; no other request gets a strike for it
  * @answered: recently answered contents, indexed by digest
  */
 struct jl_poison
@@ -180,7 +183,7 @@
   return record;
 }
 
-/* Whether a strike has not expired and no answer came after it. */
+/* Whether a strike has not expired and was not followed by an answer. */
 static bool
 is_active (const struct jl_core *core,
            const struct record *record,
@@ -191,8 +194,8 @@
 }
 
 /*
- * Returns the entry to use for a strike by @target: its existing one, a free
- * one, or the oldest.
+ * Returns the entry for a strike by @target: its existing entry, else a free
+ * entry, else the oldest entry.
  */
 static struct strike *
 find_strike_slot (struct record *record, uint64_t target)
@@ -224,7 +227,11 @@
     jl_log_event (core, JL_LOG_STRIKE, record->digest, strikes);
 }
 
-/* Records a strike. Return: whether it was new. */
+/*
+ * Records a strike.
+ *
+ * Return: whether the strike was new.
+ */
 static bool
 add_strike (struct jl_core *core,
             uint64_t digest,
@@ -296,7 +303,10 @@
   }
 }
 
-/* Notifies the daemons that are likely to get the suspect requests next. */
+/*
+ * Notifies the daemons of the own service, which are likely to receive retries
+ * of the suspect requests.
+ */
 static void
 notify_members (void *context, struct jl_timer *timer G_GNUC_UNUSED)
 {
--- a/source/core/poison.h
+++ b/source/core/poison.h
@@ -6,11 +6,11 @@
  *
  * A request that is in progress when its target dies gets a strike, recorded
  * under the digest of its content. Content with an active strike is suspect. A
- * target runs only one suspect request at a time; if it dies meanwhile, only
- * this request gets another strike. Content with strikes on two different
- * targets is refused by every daemon until the strikes expire. Control messages
- * carry the strikes to other daemons. An answer clears the strikes of its
- * content at the daemon that got it.
+ * target runs only one suspect request at a time; if the target dies during the
+ * run, only this request gets another strike. Content with strikes on two
+ * different targets is refused by every daemon until the strikes expire.
+ * Control messages carry the strikes to other daemons. An answer clears the
+ * strikes of the request's content at the daemon that receives the answer.
  *
  * Content without a digest (0) never gets a strike.
  */
--- a/source/core/queue.c
+++ b/source/core/queue.c
@@ -4,18 +4,20 @@
 
 #include "queue.h"
 
+/* Number of lists, of bitmap words, and of words in the summary of the bitmap.
+ */
 #define LIST_COUNT ((size_t)JL_PRIORITY_COUNT * JL_QUEUE_BAND_COUNT)
 #define WORD_BITS 64
 #define WORD_COUNT (LIST_COUNT / WORD_BITS)
 #define SUMMARY_COUNT (WORD_COUNT / WORD_BITS)
-/* Smallest amount of invested work that is not in the last band. */
+/* Requests with less invested work than this are in the last band. */
 #define BAND_BASE_US 250
 
 /**
  * struct jl_queue - lists of waiting items, indexed by a two-level bitmap
  * @fifo: all items are in the first list, in order of arrival
- * @summary: one bit per word of @words; set if the word is not zero
- * @words: one bit per list; set if the list is not empty
+ * @summary: one bit per word of @words, set if the word is not zero
+ * @words: one bit per list, set if the list is not empty
  * @priority_counts: Fenwick tree of the number of items of each priority
  */
 struct jl_queue
@@ -45,7 +47,7 @@
   g_free (queue);
 }
 
-/* Returns the band: 0 for the most invested work, the last for the least. */
+/* Returns the band: the more work is invested, the lower its index. */
 static uint32_t
 band_index (uint64_t invested_us)
 {
--- a/source/core/queue.h
+++ b/source/core/queue.h
@@ -11,7 +11,10 @@
 
 #include "core-impl.h"
 
-/* Bands of work already invested in a request; their bounds grow fourfold. */
+/*
+ * Number of bands of the time already spent on a request. Each band's bound is
+ * four times that of the band below it.
+ */
 #define JL_QUEUE_BAND_COUNT 8
 
 struct jl_queue;
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -33,9 +33,10 @@
 }
 
 /**
- * struct pool - retry tokens that a call uses: those of its parent, or its own
+ * struct pool - retry tokens that a call uses: its parent's tokens, or its own
+ * if it has no parent
  * @left: tokens that can be lent or spent
- * @lent: tokens that went out with attempts in progress
+ * @lent: tokens lent to attempts in progress
  * @initial: number of tokens at the start
  */
 struct pool
--- a/source/core/retry.h
+++ b/source/core/retry.h
@@ -5,8 +5,8 @@
  * DOC: Retry budgets: tokens for a tree of calls, and a ratio per service.
  *
  * Each attempt carries retry tokens down the call tree, and its answer returns
- * the unspent ones. Tokens are lost with a lost answer; none are ever created
- * below the root of the tree.
+ * the unspent tokens. If an answer is lost, so are its tokens. Tokens are
+ * created only at the root of the tree.
  *
  * The second budget limits the retries to a service to a percentage of the
  * first attempts. A retry after an overload refusal is not charged to it:
