--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -112,8 +112,8 @@
 }
 
 /*
- * Schedules harmless requests at all entries. Every third has the same content,
- * all others have unique contents.
+ * Schedules harmless requests at all entries. Every third request has the same
+ * content; each of the others has a content of its own.
  */
 static void
 schedule_others (struct simulation *simulation,
@@ -145,8 +145,8 @@
 }
 
 /*
- * A poison request sent 20 times through all entries crashes exactly two
- * targets, and no harmless request is refused because of it.
+ * A poison request that is sent 20 times, through all entries in turn, must
+ * crash exactly two targets. No harmless request may be refused as poison.
  */
 Test (crashing, kills_at_most_two_targets)
 {
--- a/tests/unit/feedback.c
+++ b/tests/unit/feedback.c
@@ -13,7 +13,8 @@
 #include "../support/site.h"
 
 #define DEEP_SLOTS 4
-/* HTTP status of complete answers, and of those whose deep call failed. */
+/* HTTP status if all calls succeeded, and if the call to the deep service
+ * failed. */
 #define HTTP_OK 200
 #define HTTP_UNAVAILABLE 503
 #define CLASS_COUNT 3
@@ -63,15 +64,15 @@
 {
   uint32_t kind;
   uint64_t interval_us;
-  uint64_t from_us;
-  uint64_t until_us;
+  uint64_t start_us;
+  uint64_t end_us;
 };
 
 /**
  * struct counts - results of the calls of one class
- * @done: answered completely
- * @wasted: ran at the front, but failed because of the deep service
- * @refused: refused without running
+ * @done: calls that succeeded
+ * @wasted: calls that ran at the front, but failed because of the deep service
+ * @refused: calls that were refused without running
  * @other: all other results
  */
 struct counts
@@ -85,10 +86,10 @@
 /**
  * struct simulation - the simulated daemons and targets, and the results
  * @kinds: kind of each call by its number
- * @slots: number of slots of the front
+ * @slots: number of slots of the front target
  * @run_time_us: run time at the target of each daemon
  * @random: if not NULL, run times at the front are exponentially distributed
- * @entries: number of entries that get calls, in turn
+ * @entry_count: number of entries to which the calls are distributed in turn
  * @calls_deep: whether each run at the front calls the deep service
  * @knee_running: requests in progress above which the throughput of the front
  *                falls; 0 for none
@@ -100,7 +101,7 @@
   uint32_t slots;
   uint64_t run_time_us[NODE_COUNT];
   GRand *random;
-  uint32_t entries;
+  uint32_t entry_count;
   bool calls_deep;
   uint32_t knee_running;
   struct counts counts[CLASS_COUNT];
@@ -123,7 +124,10 @@
   return count;
 }
 
-/* Returns the run time of a request, given the requests in progress. */
+/*
+ * Returns the run time of a request that starts now. Above the knee it grows
+ * with the square of the number of requests in progress.
+ */
 static uint64_t
 choose_run_time (struct jl_site *site, uint32_t node)
 {
@@ -195,7 +199,7 @@
   memset (simulation, 0, sizeof *simulation);
   simulation->kinds = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   g_array_set_size (simulation->kinds, 1);
-  simulation->entries = 1;
+  simulation->entry_count = 1;
   simulation->slots = 10;
   simulation->run_time_us[FRONT] = 20 * JL_USEC_PER_MSEC;
   simulation->run_time_us[DEEP] = 20 * JL_USEC_PER_MSEC;
@@ -222,7 +226,7 @@
                     end_us);
   jl_site_announce (&simulation->site, DEEP, "deep", DEEP_SLOTS, 1, 0, end_us);
   for (uint32_t i = 0; i < count; i++)
-    for (uint64_t at_us = sources[i].from_us; at_us < sources[i].until_us;
+    for (uint64_t at_us = sources[i].start_us; at_us < sources[i].end_us;
          at_us += sources[i].interval_us)
       {
         call.call.call = simulation->kinds->len;
@@ -230,7 +234,8 @@
         call.call.config_version = 1;
         g_array_append_val (simulation->kinds, sources[i].kind);
         jl_site_schedule (&simulation->site,
-                          FIRST_ENTRY + call.call.call % simulation->entries,
+                          FIRST_ENTRY
+                              + call.call.call % simulation->entry_count,
                           &call, at_us);
       }
 }
@@ -257,8 +262,9 @@
 }
 
 /*
- * The front has a capacity of 500 requests per second. 250 per second arrive in
- * the upper two classes and 900 in the lowest.
+ * The front has a capacity of 500 requests per second. 250 requests per second
+ * arrive in the upper two classes and 900 in the lowest. All requests of the
+ * upper classes must succeed, and at least 90% of the capacity must be used.
  */
 Test (feedback, upper_classes_are_done_and_the_slots_stay_full)
 {
@@ -287,8 +293,8 @@
 }
 
 /*
- * After a surge of uploads at 4 times the capacity, 200 uploads per second are
- * admitted again.
+ * Uploads arrive at 4 times the capacity for a while. Within two seconds after
+ * that, all of 200 uploads per second must be admitted.
  */
 Test (feedback, the_lowest_class_is_back_within_two_seconds)
 {
@@ -312,8 +318,8 @@
 }
 
 /*
- * The capacity of the target drops to a fifth for a while; the demand stays the
- * same.
+ * The capacity of the target drops to a fifth for a while, with unchanged
+ * demand. No request of the upper class may be refused.
  */
 Test (feedback, a_slow_target_keeps_the_upper_class)
 {
@@ -346,12 +352,12 @@
 
 /*
  * The deep service has a capacity of 200 calls per second and the front of
- * 1,000. 50 per second arrive in the upper class and 400 in the lowest. Calls
- * that the deep service would refuse have to be refused before they run at the
- * front.
+ * 1,000. 50 requests per second arrive in the upper class and 400 in the
+ * lowest. Requests that the deep service would refuse must be refused before
+ * they run at the front.
  */
 static void
-expect_early_refusals (uint32_t entries)
+expect_early_refusals (uint32_t entry_count)
 {
   struct simulation simulation;
   struct counts counts[CLASS_COUNT];
@@ -362,7 +368,7 @@
   };
 
   open_simulation (&simulation);
-  simulation.entries = entries;
+  simulation.entry_count = entry_count;
   simulation.calls_deep = true;
   simulation.run_time_us[FRONT] = 5 * JL_USEC_PER_MSEC;
   schedule_calls (&simulation, sources, G_N_ELEMENTS (sources),
@@ -395,7 +401,8 @@
 
 /*
  * The target serves 125 requests per second with ten in progress, and 250 per
- * second with five. The limit has to go down for it to do so.
+ * second with five. The concurrency limit must be reduced to reach the higher
+ * rate.
  */
 Test (feedback, a_target_that_thrashes_gets_fewer_at_a_time)
 {
@@ -423,7 +430,8 @@
 
 /*
  * Four slots with exponentially distributed run times serve 200 requests per
- * second. 187 per second arrive in the upper two classes and 213 in the lowest.
+ * second. 187 requests per second arrive in the upper two classes and 213 in
+ * the lowest. The queue must be long enough to keep the slots in use.
  */
 Test (feedback, few_slots_with_widely_spread_runs_stay_in_use)
 {
--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -61,7 +61,10 @@
   return NULL;
 }
 
-/* The daemon may have run the attempt before it restarted. */
+/*
+ * A daemon must not confirm a cancellation that is addressed to an earlier
+ * process of it, which may have run the attempt.
+ */
 Test (forward, cancellation_meant_for_an_earlier_life_is_not_confirmed)
 {
   struct rig *rig = rig_new ();
@@ -83,6 +86,7 @@
   rig_drop (rig);
 }
 
+/* A cancellation is addressed to the process to which the attempt was sent. */
 Test (forward, cancellation_names_the_life_that_was_sent_the_call)
 {
   struct rig *rig = rig_new ();
@@ -119,6 +123,7 @@
   rig_drop (rig);
 }
 
+/* A forwarded call that arrives after its cancellation must not be granted. */
 Test (forward, forwarded_call_that_was_given_up_is_not_granted)
 {
   struct rig *rig = rig_new ();
@@ -192,8 +197,8 @@
 }
 
 /*
- * After this long the guard has no record of the attempt any more and would
- * wrongly confirm that it has not started.
+ * After 150 s the guard has no record of the attempt any more and would wrongly
+ * confirm the cancellation, so the outcome must be unknown.
  */
 Test (forward, long_sending_that_breaks_is_unknown)
 {
@@ -209,6 +214,7 @@
   rig_drop (rig);
 }
 
+/* A call that was forwarded by an earlier process of a daemon is abandoned. */
 Test (forward, forwarded_call_of_an_earlier_life_is_not_granted)
 {
   struct rig *rig = rig_new ();
--- a/tests/unit/once.c
+++ b/tests/unit/once.c
@@ -59,6 +59,7 @@
   rig_drop (rig);
 }
 
+/* After "not run", no run is granted until the retry delay is over. */
 Test (once, not_run_holds_until_the_caller_is_to_come_back)
 {
   struct rig *rig = rig_new ();
@@ -91,6 +92,7 @@
   cr_assert_eq (rig_answer (rig)->reason, JL_REASON_HOME_LOST);
 }
 
+/* Tickets that this process has not minted must not be granted. */
 Test (once, tickets_of_nobody_here_are_never_run)
 {
   struct rig *rig = rig_new ();
@@ -130,7 +132,7 @@
 
 /*
  * A burst of requests is followed by an hour in which no ticket is minted. The
- * tickets must expire nevertheless, and must not be granted after that.
+ * tickets of the burst must expire in that time and must not be granted later.
  */
 Test (once, used_tickets_expire_and_are_not_run_then)
 {
@@ -251,6 +253,10 @@
   rig_drop (rig);
 }
 
+/*
+ * If a key is reused for a different request after a run, the answer must not
+ * claim that the request under the key has not run.
+ */
 Test (once, key_of_a_request_that_ran_is_not_told_not_run)
 {
   struct rig *rig = rig_new ();
@@ -298,6 +304,10 @@
   rig_drop (rig);
 }
 
+/*
+ * Tickets of calls are derived from the name of the kind, since its index may
+ * differ between two versions of the configuration.
+ */
 Test (once, call_of_a_repeated_parent_is_known_after_an_apply)
 {
   struct rig *rig = rig_new ();
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -6,7 +6,8 @@
 
 #include <criterion/criterion.h>
 
-/* Configurations of odd and of even versions, which differ in kind order. */
+/* Configurations of odd and even versions, which differ in the order of kinds.
+ */
 static const char *const documents[] = {
   "{\"classes\":[\"all\"],\"zones\":[{\"name\":\"z\",\"region\":\"r\"}],"
   "\"services\":[{\"name\":\"s\",\"retry_percent\":100,\"cold_start_ms\":0}],"
--- a/tests/unit/parts/rig.h
+++ b/tests/unit/parts/rig.h
@@ -4,12 +4,13 @@
 /**
  * DOC: Fixture for unit tests: one reducer with its local target.
  *
- * A test takes the role of the I/O layer. Each step replaces the effects of the
- * step before.
+ * A test takes the role of the I/O layer. The effects of a step are valid until
+ * the next step.
  */
 
 #include "jackdawladder/core.h"
 
+/* Member IDs and epochs of the daemon under test and of another daemon. */
 #define SELF UINT64_C (0x7f2800011b58)
 #define OTHER UINT64_C (0x7f2800021b58)
 #define EPOCH UINT64_C (1000)
@@ -42,68 +43,82 @@
  * rig_step - runs one step with @event at the current time
  */
 void rig_step (struct rig *rig, struct jl_event *event);
+
 /**
- * rig_tick_after - advances the time by @ms, with a tick at least every 100 ms
+ * rig_tick_after - advances the time by @ms, with a tick every 100 ms and at
+ * the end
  */
 void rig_tick_after (struct rig *rig, uint64_t ms);
+
 /**
  * rig_configure - installs version @version of the configuration
  */
 void rig_configure (struct rig *rig, uint64_t version);
+
 /**
  * rig_announce - announces the local target
  */
 void rig_announce (struct rig *rig);
+
 /**
- * rig_new - creates a reducer with configuration version 1 and a target that is
- * announced
+ * rig_new - creates a reducer that has installed configuration version 1 and
+ * whose target is announced
  */
 struct rig *rig_new (void);
 void rig_drop (struct rig *rig);
+
 /**
  * rig_find - returns the first effect of @type of the last step, or NULL
  */
 const struct jl_effect *rig_find (const struct rig *rig,
                                   enum jl_effect_type type);
+
 /**
  * rig_mint - returns a new ticket of the daemon
  */
 struct jl_ticket rig_mint (struct rig *rig);
+
 /**
  * rig_call_event - sends @event as a new call
  *
  * Return: number of the call.
  */
 uint64_t rig_call_event (struct rig *rig, struct jl_event *event);
+
 /**
  * rig_call_ticket - sends a PUT request under @ticket
  *
  * Return: number of the call.
  */
 uint64_t rig_call_ticket (struct rig *rig, struct jl_ticket ticket);
+
 /**
- * rig_end_send - ends the attempt that the last step started
+ * rig_end_send - ends the attempt that was sent in the last step with @result
  */
 void rig_end_send (struct rig *rig, struct jl_event_call_result result);
+
 /**
  * rig_answer - returns the answer that the last step emitted
  */
 const struct jl_effect_answer *rig_answer (const struct rig *rig);
+
 /**
  * rig_begin_run - starts the run of a GET request whose tree has @anchor
  *
  * Return: number of the work item.
  */
 uint64_t rig_begin_run (struct rig *rig, struct jl_ticket anchor);
+
 /**
- * rig_call_child - makes a call during the run of work item @parent
+ * rig_call_child - makes a call of @kind during the run of work item @parent
+ * @ordinal: see struct jl_event_call
  */
 void rig_call_child (struct rig *rig,
                      uint64_t parent,
                      uint32_t kind,
                      uint32_t ordinal);
 
-/* Results of an attempt. */
+/* Results of an attempt: complete answer, overload refusal, and timeout. */
 extern const struct jl_event_call_result rig_done;
 extern const struct jl_event_call_result rig_refused;
 extern const struct jl_event_call_result rig_timed_out;
--- a/tests/unit/place.c
+++ b/tests/unit/place.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Tests of placement in a site of 470 daemons: which targets an entry
- * uses.
+ * DOC: Tests of placement: which targets an entry uses in a site of 470
+ * daemons.
  */
 
 #include <criterion/criterion.h>
@@ -28,7 +28,7 @@
 
 /**
  * struct entry - a daemon whose entry makes calls
- * @used: whether the entry has sent a call to each target, by number
+ * @used: whether the entry has sent a call to a target, by number of the target
  */
 struct entry
 {
@@ -48,9 +48,9 @@
 }
 
 static void
-format_zone (char *zone, uint32_t number, uint32_t zones)
+format_zone (char *zone, uint32_t number, uint32_t zone_count)
 {
-  g_snprintf (zone, JL_NAME_SIZE, "zone-%u", number % zones);
+  g_snprintf (zone, JL_NAME_SIZE, "zone-%u", number % zone_count);
 }
 
 static void
@@ -67,7 +67,7 @@
  * the service "front", all others of the service "other".
  */
 static void
-announce_member (struct entry *entry, uint32_t number, uint32_t zones)
+announce_member (struct entry *entry, uint32_t number, uint32_t zone_count)
 {
   struct jl_message message = { .type = JL_MESSAGE_SYNC };
   struct jl_event event = { .type = JL_EVENT_MESSAGE };
@@ -79,7 +79,7 @@
   info->slots = SLOTS_PER_TARGET;
   info->connections = CONNECTIONS_PER_TARGET;
   info->target_up = true;
-  format_zone (info->zone, number, zones);
+  format_zone (info->zone, number, zone_count);
   g_strlcpy (info->service, number <= TARGET_COUNT ? "front" : "other",
              JL_NAME_SIZE);
   message.from = info->identity;
@@ -92,20 +92,20 @@
 open_entry (struct entry *entry,
             struct jl_config *config,
             uint32_t number,
-            uint32_t members,
-            uint32_t zones)
+            uint32_t member_count,
+            uint32_t zone_count)
 {
   struct jl_core_options options = { .identity = identity_of (number) };
   struct jl_event event = { .type = JL_EVENT_CONFIG, .config = config };
 
   memset (entry, 0, sizeof *entry);
-  format_zone (options.zone, number, zones);
+  format_zone (options.zone, number, zone_count);
   options.seed = number;
   entry->core = jl_core_new (&options);
   entry->effects = jl_effects_new ();
   step (entry, &event);
-  for (uint32_t member = 1; member <= members; member++)
-    announce_member (entry, member, zones);
+  for (uint32_t member = 1; member <= member_count; member++)
+    announce_member (entry, member, zone_count);
 }
 
 static void
@@ -166,11 +166,11 @@
   return config;
 }
 
-/* No target gets more connections from all entries than it accepts. */
+/* The entries that use a target must not exceed its number of connections. */
 Test (place, subsets_fit_the_connections)
 {
   struct jl_config *config = open_config ();
-  uint32_t entries[TARGET_COUNT + 1] = { 0 };
+  uint32_t entry_counts[TARGET_COUNT + 1] = { 0 };
 
   for (uint32_t number = TARGET_COUNT + 1; number <= DAEMON_COUNT; number++)
     {
@@ -180,19 +180,21 @@
       for (uint64_t i = 1; i <= CALL_COUNT; i++)
         entry.used[make_call (&entry, i, 0, true)] = true;
       for (uint32_t target = 1; target <= TARGET_COUNT; target++)
-        entries[target] += entry.used[target];
+        entry_counts[target] += entry.used[target];
       close_entry (&entry);
     }
   for (uint32_t target = 1; target <= TARGET_COUNT; target++)
     {
-      cr_log_info ("target %u is used by %u entries", target, entries[target]);
-      cr_expect_leq (entries[target], CONNECTIONS_PER_TARGET);
-      cr_expect_gt (entries[target], 0);
+      cr_log_info ("target %u is used by %u entries", target,
+                   entry_counts[target]);
+      cr_expect_leq (entry_counts[target], CONNECTIONS_PER_TARGET);
+      cr_expect_gt (entry_counts[target], 0);
     }
   jl_config_drop (config);
 }
 
-/* Calls go to other zones only once the targets of the own zone are full. */
+/* Calls must not go to other zones unless the targets of the own zone are full.
+ */
 Test (place, other_zones_are_used_when_the_own_is_full)
 {
   struct jl_config *config = open_config ();
@@ -220,7 +222,7 @@
   jl_config_drop (config);
 }
 
-/* Members of the subset that are dead are replaced by other members. */
+/* Dead members of the subset must be replaced by other members. */
 Test (place, a_subset_grows_when_its_members_fail)
 {
   struct jl_config *config = open_config ();
@@ -271,8 +273,9 @@
 }
 
 /*
- * A new target gets fewer calls than one that has completed its cold start. The
- * comparison is with the same two targets after the cold start time.
+ * A new target must get fewer calls than after its cold start. The test
+ * compares the calls to the second of two targets during and after its cold
+ * start.
  */
 Test (place, a_new_member_gets_a_growing_share)
 {
--- a/tests/unit/queue.c
+++ b/tests/unit/queue.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Tests of the admission queue against a reference model, an array that is
+ * DOC: Tests of the admission queue against a reference model: an array that is
  * searched linearly.
  */
 
@@ -61,6 +61,7 @@
   return last;
 }
 
+/* Returns the number of items that are at least as important as @priority. */
 static uint32_t
 count_at_least (const struct model *model, uint32_t priority)
 {
@@ -141,6 +142,7 @@
   jl_queue_drop (model.queue);
 }
 
+/* A FIFO queue must ignore priority and invested work. */
 Test (queue, keeps_arrivals_in_order_without_importance)
 {
   struct jl_queue *queue = jl_queue_new (true);
--- a/tests/unit/timer.c
+++ b/tests/unit/timer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Unit test of timers: order of firing, stop and restart.
+ * DOC: Unit test of timers: firing order, stopping and restarting.
  */
 
 #include <criterion/criterion.h>
