--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -19,10 +19,10 @@
  * @JL_EFFECT_CLAIM: claim a caller's idempotency key in the platform's table
  * @JL_EFFECT_RUN: send a work item to the local target
  * @JL_EFFECT_FINISH: answer the daemon that sent a work item
- * @JL_EFFECT_ABORT: abort a running work item; the reducer still expects a
+ * @JL_EFFECT_ABORT_WORK: abort a running work item; the reducer still expects a
  *                   JL_EVENT_WORK_RESULT
- * @JL_EFFECT_STOP_SEND: abort an attempt; the I/O layer still reports its
- * result, which the reducer ignores
+ * @JL_EFFECT_ABORT_ATTEMPT: abort an attempt; the I/O layer still reports its
+ *                           result, which the reducer ignores
  * @JL_EFFECT_MESSAGE: send a control message
  * @JL_EFFECT_PUBLISH: update this daemon's row in the platform's table
  * @JL_EFFECT_CONFIG: use the given configuration from now on
@@ -38,8 +38,8 @@
   JL_EFFECT_CLAIM,
   JL_EFFECT_RUN,
   JL_EFFECT_FINISH,
-  JL_EFFECT_ABORT,
-  JL_EFFECT_STOP_SEND,
+  JL_EFFECT_ABORT_WORK,
+  JL_EFFECT_ABORT_ATTEMPT,
   JL_EFFECT_MESSAGE,
   JL_EFFECT_PUBLISH,
   JL_EFFECT_CONFIG,
@@ -156,7 +156,7 @@
  *           came with its result is sent
  * @no_retry: whether a retry cannot succeed
  * @retry_after_ms: delay after which the sender should retry, 0 if not
- * specified
+ *                  specified
  * @tokens: unspent retry tokens that are given back
  * @report: overload report of this service and of the services that it calls
  */
@@ -172,9 +172,9 @@
 };
 
 /**
- * struct jl_effect_stop_send - abort an attempt
+ * struct jl_effect_abort_attempt - abort an attempt
  */
-struct jl_effect_stop_send
+struct jl_effect_abort_attempt
 {
   uint64_t call;
   struct jl_attempt_id attempt;
@@ -228,7 +228,7 @@
     struct jl_effect_run run;
     struct jl_effect_finish finish;
     uint64_t abort_work;
-    struct jl_effect_stop_send stop_send;
+    struct jl_effect_abort_attempt abort_attempt;
     struct jl_effect_message *message; /* owned by the effect list */
     struct jl_member_info publish;
     struct jl_config *config; /* valid until the next step */
--- a/include/jackdawladder/event.h
+++ b/include/jackdawladder/event.h
@@ -235,7 +235,7 @@
  * @JL_RUN_BROKEN: the connection to the target broke, or the response was
  *                 incomplete
  * @JL_RUN_TIMEOUT: no complete response arrived before the deadline
- * @JL_RUN_ABORTED: the run was aborted by JL_EFFECT_ABORT
+ * @JL_RUN_ABORTED: the run was aborted by JL_EFFECT_ABORT_WORK
  * @JL_RUN_TOO_LARGE: the response was larger than its kind allows
  */
 enum jl_run_result
--- a/source/core/admit.c
+++ b/source/core/admit.c
@@ -48,7 +48,7 @@
 #define RETRY_AFTER_BASE_MS 500
 /* Maximum of the base delay, before jitter. */
 #define RETRY_AFTER_MAX_MS 8000
-/* Restoring the level is logged once it has not been lowered for this long. */
+/* The level is logged as restored if it was at its maximum for this long. */
 #define RESTORED_LOG_DELAY_US (1 * JL_USEC_PER_SEC)
 
 /**
--- a/source/core/admit.h
+++ b/source/core/admit.h
@@ -29,7 +29,7 @@
 /**
  * jl_admit_done - frees the slot of a running item that has ended
  * @latency_us: latency of the target's answer; 0 if there was no answer, so
- * that the run is no latency sample
+ *              that the run is no latency sample
  */
 void
 jl_admit_done (struct jl_core *core, struct jl_work *work, uint64_t latency_us);
--- a/source/core/attempt-table.c
+++ b/source/core/attempt-table.c
@@ -4,8 +4,10 @@
 
 #include "attempt-table.h"
 
-/* Retention time of an entry; no copy of an attempt is expected to arrive
- * later. */
+/*
+ * Retention time of an entry; no copy of an attempt is expected to arrive
+ * later.
+ */
 #define ATTEMPT_RETENTION_US (120 * JL_USEC_PER_SEC)
 
 /**
--- a/source/core/attempt-table.h
+++ b/source/core/attempt-table.h
@@ -15,7 +15,7 @@
  * @JL_ATTEMPT_UNKNOWN: the attempt has not arrived, or its entry has expired
  * @JL_ATTEMPT_ACCEPTED: the attempt is queued, running or ended
  * @JL_ATTEMPT_TOMBSTONE: the attempt was refused or cancelled and will never
- * run
+ *                        run
  */
 enum jl_attempt_state
 {
--- a/source/core/core-impl.h
+++ b/source/core/core-impl.h
@@ -26,8 +26,9 @@
 
 /**
  * struct jl_target - state of the own target
- * @service: index of its service in the configuration; JL_NONE if not in it
- * @slots: number of requests that it accepts at a time
+ * @service: index of its service in the configuration; JL_NONE if the service
+ *           is not configured
+ * @slots: number of concurrent requests that it accepts
  * @started: start time of its process, which distinguishes the process from
  *           earlier ones
  * @announced_us: time of the last announcement
@@ -83,7 +84,7 @@
  * @tokens_initial: initial value of @tokens
  * @tokens_lent: part of @tokens that is lent to the attempt in progress
  * @attempt_tokens: tokens lent to the attempt in progress, from this pool or
- * the parent's
+ *                  the parent's
  * @sends: number of attempts that were sent to a target so far
  * @attempt: ID of the attempt in progress
  * @sent_us: when the attempt was sent
--- a/source/core/entry-stop.c
+++ b/source/core/entry-cancel.c
@@ -16,10 +16,10 @@
 abort_attempt (struct jl_core *core, struct jl_call *call)
 {
   struct jl_event_call_result ended = { .result = JL_SEND_TIMEOUT };
-  struct jl_effect *stop = jl_emit (core, JL_EFFECT_STOP_SEND);
+  struct jl_effect *effect = jl_emit (core, JL_EFFECT_ABORT_ATTEMPT);
 
-  stop->stop_send.call = call->number;
-  stop->stop_send.attempt = call->attempt;
+  effect->abort_attempt.call = call->number;
+  effect->abort_attempt.attempt = call->attempt;
   call->may_have_run = true;
   if (call->state != JL_CALL_SENT)
     {
--- a/source/core/entry-impl.h
+++ b/source/core/entry-impl.h
@@ -5,7 +5,8 @@
  * DOC: Declarations shared by the source files of the entry.
  *
  * entry.c handles new calls and final answers, entry-send.c chooses targets
- * and sends calls, entry-result.c handles results, entry-stop.c cancels calls.
+ * and sends calls, entry-result.c handles results, entry-cancel.c cancels
+ * calls.
  */
 
 #include "entry.h"
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -205,8 +205,10 @@
     }
 }
 
-/* Handles the end of a forwarded attempt: an answer of the minter, or a
- * failure. */
+/*
+ * Handles the end of a forwarded attempt: an answer of the minter, or a
+ * failure.
+ */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -8,7 +8,8 @@
 
 /* A reported level is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* The level of a service is the highest one reported in this or the last span.
+/*
+ * The level of a service is the highest one reported in this or the last span.
  */
 #define LEVEL_SPAN_US (50 * JL_USEC_PER_MSEC)
 /* An older level still applies, but is probed, until it expires at this age. */
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -368,7 +368,7 @@
     {
       work->cancelled = true;
       jl_entry_work_ended (core, work);
-      jl_emit (core, JL_EFFECT_ABORT)->abort_work = work->number;
+      jl_emit (core, JL_EFFECT_ABORT_WORK)->abort_work = work->number;
     }
   if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNKNOWN)
     jl_attempt_set_state (core, message->attempt, JL_ATTEMPT_TOMBSTONE);
--- a/source/core/guard.h
+++ b/source/core/guard.h
@@ -61,7 +61,7 @@
 /**
  * jl_guard_refuse - ends a waiting work item without running it
  * @retry_after_ms: delay after which the sender should retry, 0 if not
- * specified
+ *                  specified
  */
 void jl_guard_refuse (struct jl_core *core,
                       struct jl_work *work,
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -23,8 +23,10 @@
  */
 #define PERSISTENT_OVERLOAD_WINDOWS 3
 #define PERSISTENT_OVERLOAD_DEMAND_PERCENT 95
-/* First increase of the level, in priorities. Each further one is twice as
- * large. */
+/*
+ * First increase of the level, in priorities. Each further one is twice as
+ * large.
+ */
 #define STEP_MIN 8
 #define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
@@ -39,7 +41,7 @@
  * @refused_permille: moving average of the share of arrivals that were refused
  * @arrived: arrivals in this window by priority
  * @demand: moving average of the arrivals per window by priority, in fixed
- * point
+ *          point
  */
 struct jl_level
 {
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -16,7 +16,7 @@
  * ticket.
  */
 #define TICKET_RETENTION_US (600 * JL_USEC_PER_SEC)
-/* Maximum number of used tickets; beyond it the oldest expire early. */
+/* Maximum number of used tickets. The oldest tickets in excess expire early. */
 #define TICKET_MAX (256 * 1024)
 /* Interval at which the highest number minted so far is recorded. */
 #define MINT_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
@@ -148,7 +148,8 @@
   g_free (once);
 }
 
-/* Expires the ticket numbers up to the last mint mark past its retention time.
+/*
+ * Expires the ticket numbers up to the last mint mark past its retention time.
  */
 static void
 expire_mint_marks (struct jl_core *core)
@@ -339,7 +340,7 @@
     }
   if (core->now_us < entry->regrant_after_us)
     return answer_before_regrant (core, call, entry);
-  /* A call below the root of its tree uses the tokens of its parent instead. */
+  /* A call below the root of its tree uses tokens that were lent to it. */
   if (call->ticket.branch == 0)
     call->tokens = MIN (call->tokens, entry->tokens);
   grant (entry);
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -351,7 +351,10 @@
   if (collect_candidates (core, call, members, false)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
-  /* Ejected members are used if there is no other member of the service. */
+  /*
+   * Includes ejected members, so that a failed attempt never excludes the last
+   * target of a service.
+   */
   if (!has_candidates (place) && collect_candidates (core, call, members, true)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
--- a/source/core/poison.c
+++ b/source/core/poison.c
@@ -41,7 +41,7 @@
  * struct strike - record that a target died while running the content
  * @target: member ID of the daemon whose target died
  * @gossip_left: number of gossip messages in which the strike is still to be
- * sent
+ *               sent
  */
 struct strike
 {
@@ -53,10 +53,10 @@
 /**
  * struct record - strikes against one content
  * @answered_us: when the content was last answered at this daemon; older
- * strikes do not count
+ *               strikes do not count
  * @changed_us: time of the newest strike or answer, from which expiry counts
  * @notify_pending: whether the daemons of the own service have yet to be
- * notified
+ *                  notified
  * @count: number of entries of @strikes in use
  * @order: node in jl_poison.order
  */
@@ -86,7 +86,8 @@
  * @order: records ordered by @changed_us, oldest first
  * @has_blamed_process: whether @blamed_started is set
  * @blamed_started: start time of the last target process whose death is
- * attributed to a suspect request; no other request gets a strike for it
+ *                  attributed to a suspect request; no other request gets a
+ *                  strike for it
  * @answered: recently answered contents, indexed by digest
  */
 struct jl_poison
--- a/source/core/queue.c
+++ b/source/core/queue.c
@@ -4,7 +4,8 @@
 
 #include "queue.h"
 
-/* Number of lists, of bitmap words, and of words in the summary of the bitmap.
+/*
+ * Number of lists, of bitmap words, and of words in the summary of the bitmap.
  */
 #define LIST_COUNT ((size_t)JL_PRIORITY_COUNT * JL_QUEUE_BAND_COUNT)
 #define WORD_BITS 64
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -95,7 +95,7 @@
 }
 
 static void
-stop_send (struct jl_daemon *daemon, const struct jl_effect_stop_send *stop)
+stop_send (struct jl_daemon *daemon, const struct jl_effect_abort_attempt *stop)
 {
   struct jl_waiter *waiter = g_hash_table_lookup (daemon->calls, &stop->call);
 
@@ -149,11 +149,11 @@
     case JL_EFFECT_FINISH:
       deliver (daemon->works, effect->finish.work, effect);
       break;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       abort_run (daemon, effect->abort_work);
       break;
-    case JL_EFFECT_STOP_SEND:
-      stop_send (daemon, &effect->stop_send);
+    case JL_EFFECT_ABORT_ATTEMPT:
+      stop_send (daemon, &effect->abort_attempt);
       break;
     case JL_EFFECT_CONFIG:
       replace_config (daemon, effect->config);
--- a/tests/random/http.c
+++ b/tests/random/http.c
@@ -270,7 +270,7 @@
 }
 
 static void
-stop_send (struct node *node, const struct jl_effect_stop_send *stop)
+stop_send (struct node *node, const struct jl_effect_abort_attempt *stop)
 {
   struct edge_call *call
       = g_hash_table_lookup (node->calls, JL_HASH_KEY (stop->call));
@@ -450,14 +450,14 @@
     case JL_EFFECT_FINISH:
       finish (node, &effect->finish);
       return;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       work
           = g_hash_table_lookup (node->works, JL_HASH_KEY (effect->abort_work));
       if (work != NULL && work->run != NULL)
         abort_run (node, work->run);
       return;
-    case JL_EFFECT_STOP_SEND:
-      stop_send (node, &effect->stop_send);
+    case JL_EFFECT_ABORT_ATTEMPT:
+      stop_send (node, &effect->abort_attempt);
       return;
     case JL_EFFECT_MESSAGE:
       send_message (node, effect->message);
--- a/tests/support/print.c
+++ b/tests/support/print.c
@@ -403,13 +403,13 @@
     case JL_EFFECT_FINISH:
       print_finish (out, config, &effect->finish);
       break;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       g_string_append_printf (out, "abort %" PRIu64, effect->abort_work);
       break;
-    case JL_EFFECT_STOP_SEND:
+    case JL_EFFECT_ABORT_ATTEMPT:
       g_string_append_printf (out, "stop-send %" PRIu64,
-                              effect->stop_send.call);
-      print_number (out, "attempt", effect->stop_send.attempt.number);
+                              effect->abort_attempt.call);
+      print_number (out, "attempt", effect->abort_attempt.attempt.number);
       break;
     case JL_EFFECT_MESSAGE:
       print_message (out, &effect->message->message);
--- a/tests/support/site.c
+++ b/tests/support/site.c
@@ -176,7 +176,7 @@
       find_work (site, effect->run.work)->running = true;
       site->hooks.run (site, find_work (site, effect->run.work));
       break;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       jl_site_end (site, effect->abort_work, JL_RUN_ABORTED, 0, 0);
       break;
     case JL_EFFECT_MESSAGE:
--- a/tests/unit/feedback.c
+++ b/tests/unit/feedback.c
@@ -13,8 +13,10 @@
 #include "../support/site.h"
 
 #define DEEP_SLOTS 4
-/* HTTP status if all calls succeeded, and if the call to the deep service
- * failed. */
+/*
+ * HTTP status if all calls succeeded, and if the call to the deep service
+ * failed.
+ */
 #define HTTP_OK 200
 #define HTTP_UNAVAILABLE 503
 #define CLASS_COUNT 3
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -6,7 +6,8 @@
 
 #include <criterion/criterion.h>
 
-/* Configurations of odd and even versions, which differ in the order of kinds.
+/*
+ * Configurations of odd and even versions, which differ in the order of kinds.
  */
 static const char *const documents[] = {
   "{\"classes\":[\"all\"],\"zones\":[{\"name\":\"z\",\"region\":\"r\"}],"
--- a/tests/unit/place.c
+++ b/tests/unit/place.c
@@ -193,7 +193,9 @@
   jl_config_drop (config);
 }
 
-/* Calls must not go to other zones unless the targets of the own zone are full.
+/*
+ * Calls must not go to other zones unless the targets of the own zone are
+ * full.
  */
 Test (place, other_zones_are_used_when_the_own_is_full)
 {
