--- a/include/jackdawladder/effect.h
+++ b/include/jackdawladder/effect.h
@@ -20,7 +20,7 @@
  * @JL_EFFECT_RUN: send a work item to the local target
  * @JL_EFFECT_FINISH: answer the daemon that sent a work item
  * @JL_EFFECT_ABORT_WORK: abort a running work item; the reducer still expects a
- *                   JL_EVENT_WORK_RESULT
+ *                        JL_EVENT_WORK_RESULT
  * @JL_EFFECT_ABORT_ATTEMPT: abort an attempt; the I/O layer still reports its
  *                           result, which the reducer ignores
  * @JL_EFFECT_MESSAGE: send a control message
@@ -158,7 +158,8 @@
  * @retry_after_ms: delay after which the sender should retry, 0 if not
  *                  specified
  * @tokens: unspent retry tokens that are given back
- * @report: overload report of this service and of the services that it calls
+ * @report: overload report of this service and of the services that it calls,
+ *          directly or indirectly
  */
 struct jl_effect_finish
 {
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -46,9 +46,9 @@
 
 /**
  * struct trial - throughput measurement at one limit
- * @skip_count: completions still to be ignored, since these requests may have
- *              started under the previous limit
- * @count: completions counted after that
+ * @skip_count: number of completions still to be ignored, since their requests
+ *              may have started under the previous limit
+ * @count: number of completions counted after the ignored ones
  * @started_us: when counting started
  * @used_us: time for which slots were in use since @started_us, summed over all
  *           slots
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -25,7 +25,7 @@
 /* The key table is a cache; the platform's table is authoritative. */
 #define KEY_RETENTION_US (600 * JL_USEC_PER_SEC)
 #define KEY_MAX (64 * 1024)
-/* Retry delay for a duplicate of a request that is in progress. */
+/* Retry delay of a duplicate whose original request is in progress. */
 #define IN_PROGRESS_RETRY_AFTER_MS 200
 /* Minimum time after a refusal during which no further run is granted. */
 #define REGRANT_DELAY_MIN_MS 500
--- a/source/core/queue.h
+++ b/source/core/queue.h
@@ -12,8 +12,8 @@
 #include "core-impl.h"
 
 /*
- * Number of bands of the time already spent on a request. Each band's bound is
- * four times that of the band below it.
+ * Number of bands of invested work, which is the time already spent on a
+ * request. Each bound between two bands is four times the next lower bound.
  */
 #define JL_QUEUE_BAND_COUNT 8
 
--- a/source/core/retry.h
+++ b/source/core/retry.h
@@ -9,9 +9,9 @@
  * created only at the root of the tree.
  *
  * The second budget limits the retries to a service to a percentage of the
- * first attempts. A retry after an overload refusal is not charged to it:
- * nothing ran, and the refusal reported which priorities the target refuses, so
- * that placement avoids it.
+ * first attempts. A retry after an overload refusal is not charged to this
+ * budget: nothing ran, and the refusal reported which priorities the target
+ * refuses, so that placement avoids the target.
  */
 
 #include "core-impl.h"
