--- a/source/core/core.c
+++ b/source/core/core.c
@@ -18,7 +18,7 @@
 #include "poison.h"
 #include "retry.h"
 
-/* A timer that is later than this shows that the process was paused. */
+/* If a timer fires later than this, the process counts as paused meanwhile. */
 #define PAUSE_MIN_US (500 * JL_USEC_PER_MSEC)
 /* Time after a pause within which all input that arrived during it is read. */
 #define STALE_INPUT_US (1 * JL_USEC_PER_SEC)
@@ -66,8 +66,8 @@
   core->retry = jl_retry_new (core);
   core->once = jl_once_new (core);
   core->poison = jl_poison_new (core);
-  core->seen = jl_attempt_table_new (core);
-  core->withdraw = jl_cancel_table_new (core);
+  core->attempt_table = jl_attempt_table_new (core);
+  core->cancel_table = jl_cancel_table_new (core);
   core->graph = jl_graph_new (core);
   core->place = jl_place_new (core);
   core->admit = jl_admit_new (core);
@@ -111,8 +111,8 @@
   jl_place_drop (core->place);
   jl_graph_drop (core->graph);
   jl_poison_drop (core->poison);
-  jl_attempt_table_drop (core->seen);
-  jl_cancel_table_drop (core->withdraw);
+  jl_attempt_table_drop (core->attempt_table);
+  jl_cancel_table_drop (core->cancel_table);
   jl_once_drop (core->once);
   jl_retry_drop (core->retry);
   g_hash_table_destroy (core->calls);
@@ -212,8 +212,8 @@
 }
 
 /*
- * Detects by a late timer that the process was paused, and treats input as
- * stale for a while.
+ * Detects from a late timer that the process was paused. Input then counts as
+ * stale for STALE_INPUT_US.
  */
 static void
 detect_pause (struct jl_core *core)
@@ -241,9 +241,9 @@
 }
 
 struct jl_ticket
-jl_core_mint_ticket (struct jl_core *core)
+jl_core_issue_ticket (struct jl_core *core)
 {
-  return jl_once_mint_ticket (core);
+  return jl_once_issue_ticket (core);
 }
 
 uint32_t
--- a/source/core/entry-result.c
+++ b/source/core/entry-result.c
@@ -20,12 +20,12 @@
  */
 #define CANCEL_ATTEMPT_AGE_MAX_US (100 * JL_USEC_PER_SEC)
 /*
- * Delay before the retry of a request that got a strike, so that the other
- * guards learn of the strike first.
+ * Delay before the retry of a request that got a strike. In this time the other
+ * guards are notified of the strike.
  */
 #define STRIKE_RETRY_DELAY_US (5 * JL_USEC_PER_MSEC)
 
-/* Retries the call on another target if a retry is allowed, or ends it. */
+/* Retries the call on another target, or ends it if no retry is allowed. */
 static void
 retry_or_finish (struct jl_core *core,
                  struct jl_call *call,
@@ -53,6 +53,7 @@
   jl_cancel_send (core, jl_call_receiver (call), call->attempt);
 }
 
+/* Ends a call whose attempt was not confirmed as cancelled. */
 static void
 finish_uncancelled (void *context, struct jl_timer *timer)
 {
@@ -89,7 +90,7 @@
     return;
   jl_timer_stop (core->timers, &call->timer);
   g_hash_table_remove (core->cancelling, JL_HASH_KEY (call->attempt.number));
-  call->state = JL_CALL_NEW;
+  call->state = JL_CALL_IDLE;
   if (message->type == JL_MESSAGE_CANCELLED)
     retry_or_finish (core, call, JL_REASON_TARGET_LOST, false);
   else
@@ -109,7 +110,7 @@
 }
 
 static void
-retry_struck (void *context, struct jl_timer *timer)
+retry_after_strike (void *context, struct jl_timer *timer)
 {
   struct jl_core *core = context;
   struct jl_call *call = caa_container_of (timer, struct jl_call, timer);
@@ -117,9 +118,9 @@
   retry_or_finish (core, call, JL_REASON_POISON, false);
 }
 
-/* The target crashed while it ran this call, which may be the cause. */
+/* Handles a crash of the target during the call, which may have caused it. */
 static void
-handle_struck (struct jl_core *core, struct jl_call *call)
+handle_strike (struct jl_core *core, struct jl_call *call)
 {
   uint64_t due_us = core->now_us + STRIKE_RETRY_DELAY_US;
 
@@ -129,11 +130,11 @@
       jl_entry_finish (core, call, JL_OUTCOME_UNKNOWN, JL_REASON_POISON);
       return;
     }
-  call->state = JL_CALL_NEW;
-  jl_timer_start (core->timers, &call->timer, due_us, retry_struck, core);
+  call->state = JL_CALL_IDLE;
+  jl_timer_start (core->timers, &call->timer, due_us, retry_after_strike, core);
 }
 
-/* Handles the guard's answer. */
+/* Handles the guard's answer to an attempt. */
 static void
 handle_answer (struct jl_core *core,
                struct jl_call *call,
@@ -151,7 +152,7 @@
     case JL_OUTCOME_UNKNOWN:
       call->may_have_run = true;
       if (event->reason == JL_REASON_POISON)
-        handle_struck (core, call);
+        handle_strike (core, call);
       else if (!call->at_most_once && event->reason == JL_REASON_TARGET_LOST)
         retry_or_finish (core, call, event->reason, event->no_retry);
       else
@@ -204,7 +205,10 @@
     }
 }
 
-/* Handles the end of a forward: the ticket's issuer answered, or is lost. */
+/*
+ * Handles the end of a forwarded attempt: an answer of the issuer, or a
+ * failure.
+ */
 static void
 handle_forward_result (struct jl_core *core,
                        struct jl_call *call,
@@ -275,7 +279,8 @@
     }
   else
     jl_retry_return (core, call,
-                     event->result == JL_SEND_NOT_SENT ? call->lent : 0);
+                     event->result == JL_SEND_NOT_SENT ? call->attempt_tokens
+                                                       : 0);
   if (call->state == JL_CALL_FORWARDED)
     handle_forward_result (core, call, event);
   else
--- a/source/core/graph.c
+++ b/source/core/graph.c
@@ -8,21 +8,27 @@
 
 /* A reported level is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* The level of a service is the highest report in this or the last span. */
+/*
+ * The level of a service is the highest one reported in this or the last span.
+ */
 #define LEVEL_SPAN_US (50 * JL_USEC_PER_MSEC)
-/* An older level still applies, but is probed; it expires at this age. */
+/* An older level still applies, but is probed, until it expires at this age. */
 #define LEVEL_EXPIRY_US (3 * JL_USEC_PER_SEC)
 /*
- * Interval between two probes of a daemon. It grows by its length for every
- * PROBE_DAEMONS members, to limit the rate of probes of all daemons together.
+ * Interval between two probes that one daemon sends. For every PROBE_DAEMONS
+ * members it grows by this length, which limits the total rate of probes of all
+ * daemons.
  */
 #define PROBE_INTERVAL_US (50 * JL_USEC_PER_MSEC)
 #define PROBE_DAEMONS 16
-/* A service counts as reached by a kind from this share of its answers on. */
+/*
+ * A service counts as reached by a kind if at least this share of the kind's
+ * answers went through it.
+ */
 #define REACH_PERCENT 90
 /*
- * The share counts as known from the minimum number of answers on. At the
- * maximum all counts are halved, so that older answers lose weight.
+ * The share counts as known if there are at least ANSWERS_MIN answers. At
+ * ANSWERS_MAX answers all counts are halved, so that older answers lose weight.
  */
 #define ANSWERS_MIN 4
 #define ANSWERS_MAX 64
@@ -31,8 +37,8 @@
  * struct service_level - admission level of a service, as reported by answers
  * @span_started_us: start of the current span
  * @level: highest level reported in the current span
- * @previous_level: highest level reported in the span before; 0 for none
- * @heard_us: time of the last report; 0 if there was none
+ * @previous_level: highest level reported in the previous span; 0 for none
+ * @reported_us: time of the last report; 0 if there was none
  * @next_probe_us: earliest time of the next probe
  */
 struct service_level
@@ -40,14 +46,14 @@
   uint64_t span_started_us;
   uint32_t level;
   uint32_t previous_level;
-  uint64_t heard_us;
+  uint64_t reported_us;
   uint64_t next_probe_us;
 };
 
 /**
  * struct reach - which services the requests of a kind reach
  * @answers: number of answered requests
- * @reached: number of these that went through each service
+ * @reached: number of these requests that went through each service
  */
 struct reach
 {
@@ -86,14 +92,14 @@
   struct service_level *known = &core->graph->services[service];
   uint64_t age_us = core->now_us - known->span_started_us;
 
-  if (known->heard_us == 0 || age_us >= LEVEL_SPAN_US)
+  if (known->reported_us == 0 || age_us >= LEVEL_SPAN_US)
     {
       known->previous_level = age_us < 2 * LEVEL_SPAN_US ? known->level : 0;
       known->level = 0;
       known->span_started_us = core->now_us;
     }
   known->level = MAX (known->level, level);
-  known->heard_us = core->now_us;
+  known->reported_us = core->now_us;
 }
 
 static void
@@ -140,18 +146,19 @@
 {
   const struct service_level *known = &core->graph->services[service];
 
-  if (known->heard_us == 0 || known->heard_us + LEVEL_EXPIRY_US < core->now_us)
+  if (known->reported_us == 0
+      || known->reported_us + LEVEL_EXPIRY_US < core->now_us)
     return JL_PRIORITY_COUNT;
   return MAX (known->level, known->previous_level);
 }
 
-/* Whether to let a request through as a probe of an old level. */
+/* Whether to admit a request as a probe of an old level. */
 static bool
 take_probe (struct jl_core *core, struct service_level *known)
 {
   uint32_t interval_count = 1 + jl_members_count (core) / PROBE_DAEMONS;
 
-  if (known->heard_us + LEVEL_FRESH_US >= core->now_us
+  if (known->reported_us + LEVEL_FRESH_US >= core->now_us
       || known->next_probe_us > core->now_us)
     return false;
   known->next_probe_us = core->now_us + interval_count * PROBE_INTERVAL_US;
@@ -164,14 +171,14 @@
                   uint32_t priority,
                   uint32_t *service)
 {
-  uint32_t own = core->config->kinds[kind].service;
+  uint32_t own_service = core->config->kinds[kind].service;
   const struct reach *reach = &core->graph->kinds[kind];
 
   if (core->options.mode != JL_CORE_FULL)
     return false;
   for (uint32_t i = 0; i < core->config->service_count; i++)
     {
-      if (i == own || !is_reached (reach, i)
+      if (i == own_service || !is_reached (reach, i)
           || priority < jl_graph_level (core, i)
           || take_probe (core, &core->graph->services[i]))
         continue;
--- a/source/core/place.c
+++ b/source/core/place.c
@@ -11,9 +11,9 @@
 
 /* A level that a member reported is trusted for this long. */
 #define LEVEL_FRESH_US (500 * JL_USEC_PER_MSEC)
-/* An older level is probed, and expires at this age. */
+/* An older level is probed until it expires at this age. */
 #define LEVEL_EXPIRY_US (5 * JL_USEC_PER_SEC)
-/* One in this many calls probes a member whose reported level is old. */
+/* Of this many calls, one probes a member whose reported level is old. */
 #define PROBE_DIVISOR 8
 /* The load that a member reported decays to zero over this time. */
 #define LOAD_DECAY_US (1 * JL_USEC_PER_SEC)
@@ -30,18 +30,19 @@
 #define SUBSET_PERCENT 80
 /* Minimum number of members of a service that each entry uses. */
 #define SUBSET_MEMBERS_MIN 4
-/* A new member counts with its slots divided by this at first. */
+/* Divisor of the slots that a new member counts with at first. */
 #define COLD_START_DIVISOR 4
 /* Interval at which the members are counted. */
 #define COUNT_INTERVAL_US (1 * JL_USEC_PER_SEC)
 
 /**
- * struct retry_hint - retry delay that a service last sent with a refusal
+ * struct retry_hint - retry delay of the last overload refusal of a service
+ * @received_us: time of the refusal
  */
 struct retry_hint
 {
   uint32_t retry_after_ms;
-  uint64_t heard_us;
+  uint64_t received_us;
 };
 
 /**
@@ -113,7 +114,10 @@
   return jl_random_below (core, PROBE_DIVISOR) != 0;
 }
 
-/* Returns the slots a member counts with, which are fewer while it is new. */
+/*
+ * Returns the number of slots with which the load of a member is computed. It
+ * is reduced during the cold start of the member.
+ */
 static uint64_t
 effective_slots (const struct jl_core *core, const struct jl_member *member)
 {
@@ -282,10 +286,10 @@
 
 /*
  * Collects the members that admit the call as candidates. Members to which an
- * attempt of this daemon has just failed are included if @include_ejected is
- * true.
+ * attempt of this daemon has failed recently are only included if
+ * @include_ejected is true.
  *
- * Return: whether some member was left out because it refuses the call.
+ * Return: whether a member was excluded because it refuses the call's priority.
  */
 static bool
 collect_candidates (struct jl_core *core,
@@ -348,7 +352,10 @@
   if (collect_candidates (core, call, members, false)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
-  /* A failed attempt must not exclude the last target of a service. */
+  /*
+   * Includes ejected members, so that a failed attempt never excludes the last
+   * target of a service.
+   */
   if (!has_candidates (place) && collect_candidates (core, call, members, true)
       && !has_candidates (place))
     return JL_PLACE_REFUSED;
@@ -400,7 +407,7 @@
     return 0;
   retry_hint = &core->place->retry_hints[service];
   if (retry_hint->retry_after_ms == 0
-      || retry_hint->heard_us + LEVEL_EXPIRY_US < core->now_us)
+      || retry_hint->received_us + LEVEL_EXPIRY_US < core->now_us)
     return 0;
   return retry_hint->retry_after_ms / 2
          + jl_random_below (core, retry_hint->retry_after_ms);
--- a/source/core/queue.h
+++ b/source/core/queue.h
@@ -11,7 +11,10 @@
 
 #include "core-impl.h"
 
-/* Bands of work already invested in a request; their bounds grow fourfold. */
+/*
+ * Number of bands of invested work, which is the time already spent on a
+ * request. Each bound between two bands is four times the next lower bound.
+ */
 #define JL_QUEUE_BAND_COUNT 8
 
 struct jl_queue;
--- a/source/core/retry.c
+++ b/source/core/retry.c
@@ -33,9 +33,10 @@
 }
 
 /**
- * struct pool - retry tokens that a call uses: those of its parent, or its own
+ * struct pool - retry tokens that a call uses: its parent's tokens, or its own
+ * if it has no parent
  * @left: tokens that can be lent or spent
- * @lent: tokens that went out with attempts in progress
+ * @lent: tokens lent to attempts in progress
  * @initial: number of tokens at the start
  */
 struct pool
@@ -78,7 +79,7 @@
 
   *pool.left -= lent;
   *pool.lent += lent;
-  call->lent = lent;
+  call->attempt_tokens = lent;
   check_pool (pool);
   return lent;
 }
@@ -90,11 +91,11 @@
 {
   struct pool pool = token_pool (call);
 
-  JL_INVARIANT (*pool.lent >= call->lent,
+  JL_INVARIANT (*pool.lent >= call->attempt_tokens,
                 "no more tokens are returned than were lent");
-  *pool.lent -= call->lent;
-  *pool.left += MIN (tokens, call->lent);
-  call->lent = 0;
+  *pool.lent -= call->attempt_tokens;
+  *pool.left += MIN (tokens, call->attempt_tokens);
+  call->attempt_tokens = 0;
   check_pool (pool);
 }
 
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -95,7 +95,8 @@
 }
 
 static void
-cancel_send (struct jl_daemon *daemon, const struct jl_effect_stop_send *stop)
+cancel_send (struct jl_daemon *daemon,
+             const struct jl_effect_abort_attempt *stop)
 {
   struct jl_waiter *waiter = g_hash_table_lookup (daemon->calls, &stop->call);
 
@@ -149,11 +150,11 @@
     case JL_EFFECT_FINISH:
       deliver (daemon->work_items, effect->finish.work, effect);
       break;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       cancel_run (daemon, effect->abort_work);
       break;
-    case JL_EFFECT_STOP_SEND:
-      cancel_send (daemon, &effect->stop_send);
+    case JL_EFFECT_ABORT_ATTEMPT:
+      cancel_send (daemon, &effect->abort_attempt);
       break;
     case JL_EFFECT_CONFIG:
       replace_config (daemon, effect->config);
--- a/tests/support/site.c
+++ b/tests/support/site.c
@@ -181,7 +181,7 @@
       find_work (site, effect->run.work)->running = true;
       site->hooks.run (site, find_work (site, effect->run.work));
       break;
-    case JL_EFFECT_ABORT:
+    case JL_EFFECT_ABORT_WORK:
       jl_site_end_run (site, effect->abort_work, JL_RUN_ABORTED, 0, 0);
       break;
     case JL_EFFECT_MESSAGE:
