--- a/source/core/member.c
+++ b/source/core/member.c
@@ -194,8 +194,9 @@
 }
 
 /*
- * Handles an update about this daemon. If it would override the own entry,
- * raises the incarnation above it, unless this daemon is leaving.
+ * Handles an update about this daemon. If the update would override this
+ * daemon's entry, raises the incarnation above that of the update, unless this
+ * daemon is leaving.
  */
 static void
 refute (struct jl_core *core, const struct jl_member_info *info)
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -14,7 +14,7 @@
 /* Idle connections kept for each endpoint. */
 #define IDLE_CONNECTION_MAX 16
 #define PLATFORM_TIMEOUT_MS 1000
-/* Interval at which the time limit of a graceful stop is checked. */
+/* Interval at which the time limit of a graceful shutdown is checked. */
 #define DRAIN_POLL_US (200 * JL_USEC_PER_MSEC)
 
 /* Initializes a condition variable with the clock that jl_now() reads. */
@@ -471,8 +471,8 @@
 }
 
 /*
- * Whether a graceful stop takes longer than the settings allow. The caller must
- * hold the lock.
+ * Whether a graceful shutdown takes longer than the settings allow. The caller
+ * must hold the lock.
  */
 static bool
 drain_timed_out (const struct jl_daemon *daemon)
--- a/source/daemon/daemon.h
+++ b/source/daemon/daemon.h
@@ -101,7 +101,7 @@
 struct jl_daemon *jl_daemon_open (struct jl_settings *settings, GError **error);
 
 /**
- * jl_daemon_drain - starts a graceful stop
+ * jl_daemon_drain - begins a graceful shutdown
  *
  * The daemon refuses new work and finishes the requests in progress.
  */
--- a/source/proxy/main.c
+++ b/source/proxy/main.c
@@ -16,9 +16,8 @@
     = "Overload control for one target instance.\v"
       "Without --settings the file named by JACKDAWLADDER_CONFIG is read. "
       "SIGTERM begins a graceful shutdown, SIGHUP reloads the settings.\n\n"
-      "Exit status: 0 shutdown completed, 1 invalid settings, 2 usage, "
-      "3 a socket could not be opened, 4 grace period ended with requests in "
-      "progress.";
+      "Exit status: 0 graceful shutdown, 1 invalid settings, 2 invalid usage, "
+      "3 a socket could not be opened, 4 stopped with requests in progress.";
 
 static const struct argp_option arguments[] = {
   { "settings", 's', "FILE", 0, "Settings of this process", 0 },
--- a/source/tool/main.c
+++ b/source/tool/main.c
@@ -23,7 +23,7 @@
       "  show         print the document in force\n"
       "  status       print a one-line summary of each daemon\n"
       "  dump         print the complete state of each daemon\n"
-      "  drain        start a graceful shutdown of each daemon\v"
+      "  drain        begin a graceful shutdown of each daemon\v"
       "apply replaces the version in force; with --base it fails if another "
       "version is in force. It then sends the document to each given daemon; "
       "an unreachable daemon does not change the exit status, since the daemon "
--- a/tests/history/rules.py
+++ b/tests/history/rules.py
@@ -229,13 +229,13 @@
             yield f"{run.request} ran {late_us // MSEC_US} ms after a leave", [run]
 
 
-def planned_stops(history):
-    """Returns the time of each planned stop, by the name of the process."""
-    stops = {fault["who"]: fault["at"] for fault in history.faults
+def graceful_shutdowns(history):
+    """Returns the time of each graceful shutdown, by the name of the process."""
+    shutdowns = {fault["who"]: fault["at"] for fault in history.faults
              if fault["what"] == "drain"}
     for leave in history.leaves:
-        stops.setdefault(leave["who"], leave["at"])
-    return stops
+        shutdowns.setdefault(leave["who"], leave["at"])
+    return shutdowns
 
 
 def timed_out(sendings, at_us):
@@ -249,16 +249,16 @@
 
 
 def drain_cuts_nothing(history, _options):
-    """A planned stop interrupts no request in progress."""
-    stops = planned_stops(history)
+    """A graceful shutdown interrupts no request in progress."""
+    shutdowns = graceful_shutdowns(history)
     killed = {fault["who"] for fault in history.faults if fault["what"] == "kill"}
     all_sendings = history.sendings_by_request()
     for run in history.runs:
         who = run.start["who"]
         sendings = all_sendings.get(run.request, [])
-        if who not in stops or who in killed:
+        if who not in shutdowns or who in killed:
             continue
-        if run.end is not None and run.end["at"] < stops[who]:
+        if run.end is not None and run.end["at"] < shutdowns[who]:
             continue
         if run.end is None:
             yield f"{run.request} at {who} never ended", [run]
@@ -280,7 +280,7 @@
 
 
 def drain_answers(history, killed):
-    """A daemon answers requests accepted before or during its planned stop."""
+    """A daemon answers requests accepted before or during its graceful shutdown."""
     drains = {fault["entry"]: fault for fault in history.faults
               if fault["what"] == "drain" and fault["who"] not in killed}
     for sending in history.sendings:
@@ -288,14 +288,17 @@
         if drain is None or not lost_answer(sending):
             continue
         if sending.answer["at"] > drain["at"]:
-            yield f"{sending.request} lost its answer in a planned stop", [sending]
+            yield (
+                f"{sending.request} lost its answer in a graceful shutdown",
+                [sending],
+            )
 
 
 def config_never_reverts(history, options):
     """Versions never decrease, have one text each, and reach all daemons in time."""
-    lives = group(history.versions, lambda seen: (seen["who"], seen["life"]))
+    incarnations = group(history.versions, lambda seen: (seen["who"], seen["life"]))
     digests = {}
-    for (who, _), samples in lives.items():
+    for (who, _), samples in incarnations.items():
         highest = 0
         for sample in samples:
             version = sample["version"]
@@ -310,14 +313,14 @@
             yield from late_version(sample, samples[0]["at"], history, options)
 
 
-def late_version(sample, life_start, history, options):
+def late_version(sample, incarnation_start, history, options):
     """A daemon has an applied version no later than config_bound_us.
 
     The time starts with the apply, or with the first sample of the daemon's
-    life if that is later.
+    incarnation if that is later.
     """
     for applied in history.applied:
-        since = max(applied["at"], life_start) + options.config_bound_us
+        since = max(applied["at"], incarnation_start) + options.config_bound_us
         if sample["at"] > since and sample["version"] < applied["version"]:
             yield (
                 f"{sample['who']} has version {sample['version']} long after "
--- a/tests/history/test_rules.py
+++ b/tests/history/test_rules.py
@@ -282,8 +282,8 @@
             end(9, "a", cut=True, status=0)]
 
 
-def version(at, number, who="d1", life=1, digest=None):
-    return {"t": "version", "at": at, "who": who, "life": life, "version": number,
+def version(at, number, who="d1", incarnation=1, digest=None):
+    return {"t": "version", "at": at, "who": who, "life": incarnation, "version": number,
             "digest": digest or f"digest-{number}"}
 
 
@@ -305,7 +305,7 @@
 
 @case()
 def version_starts_again_with_a_new_life():
-    return [version(0, 2), version(1, 0, life=2), version(2, 2, life=2)]
+    return [version(0, 2), version(1, 0, incarnation=2), version(2, 2, incarnation=2)]
 
 
 def violated_rules(records):
--- a/tests/history/watch.py
+++ b/tests/history/watch.py
@@ -25,14 +25,14 @@
     try:
         _, status = get(address, "/jl/status")
         answer, text = get(address, "/jl/config")
-        life = json.loads(status)["epoch"]
+        incarnation = json.loads(status)["epoch"]
     except (OSError, http.client.HTTPException, ValueError):
         return None
     return {
         "at": time.monotonic_ns() // 1000,
         "t": "version",
         "who": name,
-        "life": life,
+        "life": incarnation,
         "version": int(answer.getheader("Jl-Config-Version", "0")),
         "digest": hashlib.sha256(text).hexdigest()[:16],
     }
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -203,7 +203,7 @@
   cr_assert (g_str_has_prefix (received (fd), "HTTP/1.1 200"));
 }
 
-Test (daemon, a_life_that_left_before_does_not_come_back)
+Test (daemon, an_incarnation_that_left_before_does_not_come_back)
 {
   struct rig rig;
 
@@ -347,7 +347,7 @@
   jl_beacon_send_soon (rig.proxy->beacon);
   rig_run (&rig, 60);
   sent = rig.proxy->counters.beacons_sent - before;
-  cr_assert_geq (sent, MEMBERS / 2, "all of the own zone: %" PRIu64, sent);
+  cr_assert_geq (sent, MEMBERS / 2, "all of the local zone: %" PRIu64, sent);
   cr_assert_leq (sent, MEMBERS * 3 / 4, "%" PRIu64 " sent", sent);
 }
 
--- a/tests/proxy/place.c
+++ b/tests/proxy/place.c
@@ -27,7 +27,7 @@
   return member;
 }
 
-Test (place, the_own_zone_comes_first)
+Test (place, the_local_zone_comes_first)
 {
   struct jl_roster roster;
   struct jl_member *near;
@@ -222,7 +222,7 @@
 
 /* After a clock has stepped back, a new incarnation has a lower epoch than the
  * old one. Its beacons must be accepted once the old one is silent. */
-Test (place, a_new_life_counts_although_its_clock_stepped_back)
+Test (place, a_new_incarnation_counts_although_its_clock_stepped_back)
 {
   struct jl_member member
       = { .epoch = 100, .sequence = 7, .last_beacon_us = NOW };
--- a/tests/proxy/target.c
+++ b/tests/proxy/target.c
@@ -27,7 +27,7 @@
   return jl_target_apply_heartbeat (target, &received, 1);
 }
 
-Test (target, draining_is_final_for_a_life)
+Test (target, draining_is_final_for_an_incarnation)
 {
   struct jl_target target = { 0 };
 
@@ -57,7 +57,7 @@
   cr_assert_eq (target.state, JL_TARGET_LEAVING);
 }
 
-Test (target, a_new_life_replaces_the_old_one_and_not_the_reverse)
+Test (target, a_new_incarnation_replaces_the_old_one_and_not_the_reverse)
 {
   struct jl_target target = { 0 };
 
@@ -69,7 +69,7 @@
 
 /* A network partition delays heartbeats of a crashed incarnation, and they
  * carry no start time. */
-Test (target, a_late_heartbeat_of_a_crashed_life_does_not_replace_the_new_one)
+Test (target, a_late_heartbeat_of_a_crashed_incarnation_is_ignored)
 {
   struct jl_target target = { 0 };
 
@@ -81,7 +81,7 @@
 
 /* The target leaves right after the daemon has started, before the first
  * heartbeat. */
-Test (target, leaving_is_final_for_a_life_not_heard_of_before)
+Test (target, leaving_is_final_for_an_incarnation_not_heard_of_before)
 {
   struct jl_target target = { 0 };
 
@@ -125,7 +125,7 @@
 
 /* The daemon is killed after it has acknowledged that the target leaves. The
  * next daemon must not send requests to that incarnation. */
-Test (target, a_leaving_holds_for_the_next_life_of_the_daemon)
+Test (target, a_leaving_holds_for_the_next_incarnation_of_the_daemon)
 {
   struct jl_target before = { 0 };
   struct jl_target restored_first = { 0 };
--- a/tests/site.sh
+++ b/tests/site.sh
@@ -180,7 +180,7 @@
   unset "TARGET_PID[$1]"
 }
 
-# Starts the planned stop of a daemon without waiting for its end.
+# Begins the graceful shutdown of a daemon and does not wait for its exit.
 drain_daemon ()
 {
   site_note "$1" drain
@@ -347,9 +347,9 @@
   for log in "$SITE_DIR"/*.daemon.log; do
     name=$(basename "$log" .daemon.log)
     sed -n 's/.*E101 .*version=\([0-9]*\).*/\1/p' "$log" \
-      | awk -v who="${name%.*}" -v life="log-${name##*.}" '{
+      | awk -v who="${name%.*}" -v incarnation="log-${name##*.}" '{
           printf "{\"at\":%d,\"t\":\"version\",\"who\":\"%s\",", NR, who
-          printf "\"life\":\"%s\",\"version\":%d,\"digest\":\"\"}\n", life, $1
+          printf "\"life\":\"%s\",\"version\":%d,\"digest\":\"\"}\n", incarnation, $1
         }'
   done > "$SITE_DIR/installed.jsonl"
 }
@@ -362,8 +362,8 @@
     ${SITE_CONFIG:+--config "$SITE_CONFIG"} "$@" "$SITE_DIR"/*.jsonl
 }
 
-# Kills all processes that still run. SIGKILL also ends paused processes; there
-# is no planned stop.
+# Kills all processes that still run. SIGKILL also ends paused processes; it
+# causes no graceful shutdown.
 site_end ()
 {
   local process
