--- a/source/core/member-fetch.c
+++ b/source/core/member-fetch.c
@@ -4,7 +4,7 @@
 
 #include "member-impl.h"
 
-/* A peer that has not delivered by then is abandoned in favor of another. */
+/* Delay until a fetch without a result is retried, if possible elsewhere. */
 #define FETCH_RETRY_US (1 * JL_USEC_PER_SEC)
 
 static void retry_fetch (void *context, struct jl_timer *timer);
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -16,7 +16,7 @@
 #define PUSH_FANOUT_SELF 8
 /* An update that was queued longer ago is sent after all recent ones. */
 #define RECENT_UPDATE_US (3 * JL_USEC_PER_SEC)
-/* An update waits at most this long, to be pushed together with others. */
+/* Maximum delay of an update that waits to be pushed together with others. */
 #define PUSH_DELAY_MAX_US (20 * JL_USEC_PER_MSEC)
 /* Minimum time between two pushes. */
 #define PUSH_INTERVAL_US (100 * JL_USEC_PER_MSEC)
@@ -199,7 +199,7 @@
   members->last_push_us = core->now_us;
   if (!more)
     return;
-  /* Members may miss some updates when there are so many at a time. */
+  /* With so many updates at a time, some members may miss some of them. */
   jl_join_schedule_compare (core);
   jl_timer_start (core->timers, &members->push, core->now_us + PUSH_INTERVAL_US,
                   push, core);
--- a/source/core/member-impl.h
+++ b/source/core/member-impl.h
@@ -7,11 +7,11 @@
 
 #include "member.h"
 
-/* Most seeds kept; an answer from a single one is enough to join. */
+/* Maximum number of seeds kept; the answer of one seed is enough to join. */
 #define JL_MEMBER_SEED_MAX 64
-/* Most queued updates that a probe or acknowledgement carries. */
+/* Maximum number of queued updates in a probe or acknowledgement. */
 #define JL_MEMBER_PIGGYBACK_MAX 8
-/* A timer that fires this late shows that the process was paused. */
+/* If a timer fires later than this, the process must have been paused. */
 #define JL_MEMBER_TIMER_LATE_US (250 * JL_USEC_PER_MSEC)
 
 /**
@@ -26,7 +26,8 @@
  * @self: entry of this daemon
  * @count: number of members by state, without never_alive entries
  * @recent_updates: members with gossip_sends_left above 0 that changed recently
- * @older_updates: such members that changed earlier; sent when there is room
+ * @older_updates: queued members that changed earlier; sent after the recent
+ *                 ones if the message has space
  * @queued_update_count: members in both lists
  * @last_push_us: time of the last push; 0 for never
  * @last_probe_sequence: sequence of the last probe sent
--- a/source/core/member-join.c
+++ b/source/core/member-join.c
@@ -7,12 +7,18 @@
 
 #include <xxhash.h>
 
-/* Interval of join requests while no other member is alive, and afterwards. */
+/*
+ * Interval of join requests while no other member is alive, and the longer
+ * interval while a member is alive.
+ */
 #define JOIN_INTERVAL_US (500 * JL_USEC_PER_MSEC)
 #define JOIN_SLOW_INTERVAL_US (5 * JL_USEC_PER_SEC)
-/* Most seeds that a join request is sent to at a time. */
+/* Maximum number of seeds that join requests are sent to at a time. */
 #define JOIN_SEEDS_MAX 3
-/* Interval of list comparisons with a random member, plus up to the jitter. */
+/*
+ * Minimum interval of list comparisons with a random member, and the maximum of
+ * the random jitter that is added to it.
+ */
 #define COMPARE_INTERVAL_US (10 * JL_USEC_PER_SEC)
 #define COMPARE_JITTER_US (2 * JL_USEC_PER_SEC)
 /* Longest delay of a comparison when updates may have been missed. */
@@ -38,7 +44,7 @@
 {
   struct jl_member *member = jl_members_find (core, seed);
 
-  /* Alive, suspect and dead members are all probed. */
+  /* Alive, suspect and dead members are probed, so they need no request. */
   return member != NULL && !member->never_alive
          && member->info.state != JL_MEMBER_LEFT;
 }
--- a/source/core/member-probe.c
+++ b/source/core/member-probe.c
@@ -9,7 +9,10 @@
 
 #include "member-impl.h"
 
-/* Time of a probe including its relays; interval of probes of dead members. */
+/*
+ * Time limit of a probe including its relays; also the interval at which dead
+ * members are probed.
+ */
 #define PROBE_PERIOD_US (500 * JL_USEC_PER_MSEC)
 /*
  * Members probed in a period. With several per daemon, a member that has failed
@@ -18,11 +21,14 @@
 #define PROBES_PER_PERIOD 4
 /* A probe without an answer is relayed by other members after this time. */
 #define DIRECT_PROBE_TIMEOUT_US (200 * JL_USEC_PER_MSEC)
-/* Most members that are asked to relay a probe. */
+/* Maximum number of members that are asked to relay a probe. */
 #define RELAYS_PER_PROBE 3
 /* A suspect member is declared dead after this time. */
 #define SUSPICION_TIMEOUT_US (4 * JL_USEC_PER_SEC)
-/* Time that a suspect still gets to refute after this process was paused. */
+/*
+ * After a pause of this process, a suspect member is declared dead only after
+ * this further time, so that it can still refute the suspicion.
+ */
 #define PAUSED_SUSPICION_US (1 * JL_USEC_PER_SEC)
 
 static void probe_expired (void *context, struct jl_timer *timer);
@@ -302,7 +308,7 @@
       send_ack (core, message);
       return;
     }
-  /* Sequence numbers of an earlier epoch of this daemon are not valid now. */
+  /* Sequence numbers are valid only within one epoch of this daemon. */
   if (message->to.epoch != core->identity.epoch)
     return;
   if (message->type == JL_MESSAGE_PROBE_RELAY)
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -16,7 +16,10 @@
 #define DEAD_RETENTION_US (UINT64_C (6) * 3600 * JL_USEC_PER_SEC)
 /* A member that left is kept this long, so that old gossip cannot re-add it. */
 #define LEFT_RETENTION_US (3600 * JL_USEC_PER_SEC)
-/* Tombstones of members that were never known as alive here. */
+/*
+ * Retention of the tombstones of members that this daemon has never known as
+ * alive.
+ */
 #define NEVER_ALIVE_RETENTION_US (300 * JL_USEC_PER_SEC)
 /* Interval of the removal of expired members. */
 #define EXPIRY_INTERVAL_US (60 * JL_USEC_PER_SEC)
--- a/source/daemon/background.c
+++ b/source/daemon/background.c
@@ -12,7 +12,7 @@
 #include "daemon/hooks.h"
 #include "jackdawladder/log.h"
 
-/* Rate of polls that the platform gets from all daemons together. */
+/* Rate of configuration polls that all daemons together aim at. */
 #define PLATFORM_POLLS_PER_SECOND 20
 #define POLL_INTERVAL_MIN_US (1 * JL_USEC_PER_SEC)
 #define POLL_INTERVAL_MAX_US (25 * JL_USEC_PER_SEC)
--- a/source/daemon/response-cache.c
+++ b/source/daemon/response-cache.c
@@ -6,9 +6,9 @@
 
 #include <urcu/list.h>
 
-/* Limit on the size of all entries. */
+/* Maximum total size of all entries. */
 #define CACHE_MAX_BYTES (UINT64_C (16) << 20)
-/* Limit on the body of one entry. */
+/* Maximum size of the body of one entry. */
 #define BODY_MAX_BYTES (UINT64_C (256) << 10)
 #define MAX_AGE_US (600 * JL_USEC_PER_SEC)
 
--- a/source/daemon/response-cache.h
+++ b/source/daemon/response-cache.h
@@ -4,7 +4,8 @@
 /**
  * DOC: Cache of responses for requests that are repeated under their ticket.
  *
- * Limited in total size and in age; the oldest responses are evicted first.
+ * The total size and the age of the responses are limited; the oldest responses
+ * are evicted first.
  */
 
 #include "jackdawladder/http.h"
--- a/source/net/conn.c
+++ b/source/net/conn.c
@@ -26,7 +26,7 @@
 #define WRITE_TIMEOUT_US (10 * JL_USEC_PER_SEC)
 /* Time to wait for the peer to close after the output was shut down. */
 #define LINGER_TIMEOUT_US (1 * JL_USEC_PER_SEC)
-/* Limits until jl_net_set_limits() is called. */
+/* Default limits, in force until jl_net_set_limits() is called. */
 #define HEAD_BYTES_MAX_DEFAULT 65536
 #define HEAD_TIMEOUT_DEFAULT_US (10 * JL_USEC_PER_SEC)
 #define IDLE_TIMEOUT_DEFAULT_US (60 * JL_USEC_PER_SEC)
--- a/tests/random/faults.c
+++ b/tests/random/faults.c
@@ -180,7 +180,10 @@
   update_availability (node);
 }
 
-/* Does nothing itself: the next item after a freeze replays the backlog. */
+/*
+ * Item without an effect of its own: the first item after a freeze makes the
+ * event queue replay the backlog.
+ */
 static void
 trigger_backlog (struct world *world G_GNUC_UNUSED,
                  struct node *node G_GNUC_UNUSED,
--- a/tests/random/http.c
+++ b/tests/random/http.c
@@ -9,7 +9,7 @@
 #include "core/core-impl.h"
 #include "world.h"
 
-/* Loss rate without and with a loss fault. */
+/* Probability that a delivery is lost, without and with a loss fault. */
 #define LOSS_BASE_PERMILLE 10
 #define LOSS_FAULT_PERMILLE 150
 
--- a/tests/random/main.c
+++ b/tests/random/main.c
@@ -108,7 +108,7 @@
 /* Virtual time at which the last run ended. */
 static uint64_t failed_us;
 
-/* Return: the kind of failure, NULL if there was none. */
+/* Runs a plan. Returns the kind of failure, NULL if there was none. */
 static const char *
 run_plan (const struct plan *plan, bool trace, bool print)
 {
@@ -208,7 +208,10 @@
   while (plan->inputs->len < before);
 }
 
-/* Return: whether the run has failed. */
+/*
+ * Runs one plan. If it fails and shrinking is requested, prints the shortened
+ * plan. Returns whether the run has failed.
+ */
 static bool
 run_one (const struct arguments *arguments, struct plan *plan)
 {
--- a/tests/standins/parts/mix.h
+++ b/tests/standins/parts/mix.h
@@ -30,7 +30,7 @@
  * @weight: share of the requests, relative to the weights of the other kinds
  * @importance: 0 for the most important class
  * @crash: whether the requests crash the target that runs them
- * @asked: requests drawn, with those skipped
+ * @asked: requests drawn, including the skipped requests
  * @done: requests that got their own complete answer with status 200
  * @refused: requests whose last outcome was "not-run"
  * @unknown: requests whose last answer had no outcome, or another one
--- a/tests/standins/target.c
+++ b/tests/standins/target.c
@@ -395,7 +395,7 @@
     return false;
   run->number = next_run ();
   crash = is_crash (run, body);
-  /* Callers and targets send a payload with each request other than GET. */
+  /* Callers and targets send a payload with every method except GET. */
   if (strcmp (run->request->request_method, "GET") == 0)
     whole = body->len == 0;
   else
