--- a/source/proxy/main.c
+++ b/source/proxy/main.c
@@ -15,7 +15,8 @@
 static const char doc[]
     = "Overload control for one target instance.\v"
       "Without --settings the file named by JACKDAWLADDER_CONFIG is read. "
-      "SIGTERM begins a graceful shutdown, SIGHUP reloads the settings.\n\n"
+      "SIGTERM begins a graceful shutdown, which the grace period limits. "
+      "SIGHUP reloads the settings.\n\n"
       "Exit status: 0 graceful shutdown, 1 invalid settings, 2 invalid usage, "
       "3 a socket could not be opened, 4 stopped with requests in progress.";
 
--- a/tests/history/test_rules.py
+++ b/tests/history/test_rules.py
@@ -283,8 +283,8 @@
 
 
 def version(at, number, who="d1", incarnation=1, digest=None):
-    return {"t": "version", "at": at, "who": who, "life": incarnation, "version": number,
-            "digest": digest or f"digest-{number}"}
+    return {"t": "version", "at": at, "who": who, "life": incarnation,
+            "version": number, "digest": digest or f"digest-{number}"}
 
 
 @case("config-never-reverts")
