--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -19,8 +19,9 @@
 
 static const char doc[]
     = "Overload control beside one target instance.\v"
-      "SIGTERM begins a graceful shutdown: the daemon refuses new work, finishes "
-      "requests in progress and exits. A second SIGTERM stops it at once.\n\n"
+      "SIGTERM begins a graceful shutdown: the daemon refuses new work, "
+      "finishes requests in progress and exits. A second SIGTERM stops it at "
+      "once.\n\n"
       "Exit status: 0 graceful shutdown, 1 invalid settings, 2 invalid usage, "
       "3 a socket could not be opened, 4 stopped with requests in progress.";
 
--- a/source/tool/main.c
+++ b/source/tool/main.c
@@ -30,8 +30,8 @@
       "gets the document from the platform or its peers later. show reads from "
       "the platform if --platform is given, else from the first daemon.\n\n"
       "Exit status: 0 done, 1 rejected or invalid, 2 invalid usage, 3 conflict "
-      "with another apply, 4 unreachable and without effect, 5 outcome unknown. "
-      "With several daemons, the exit status is the highest one.";
+      "with another apply, 4 unreachable and without effect, 5 outcome "
+      "unknown. With several daemons, the exit status is the highest one.";
 
 static const struct argp_option options[] = {
   { "platform", 'p', "IP:PORT", 0, "The platform's table service", 0 },
