--- a/source/core/member.c
+++ b/source/core/member.c
@@ -16,7 +16,10 @@
 #define DEAD_RETENTION_US (UINT64_C (6) * 3600 * JL_USEC_PER_SEC)
 /* A member that left is kept this long, so that old gossip cannot re-add it. */
 #define LEFT_RETENTION_US (3600 * JL_USEC_PER_SEC)
-/* Tombstones of members that were never known as alive here. */
+/*
+ * Retention of the tombstones of members that this daemon has never known as
+ * alive.
+ */
 #define NEVER_ALIVE_RETENTION_US (300 * JL_USEC_PER_SEC)
 /* Interval of the removal of expired members. */
 #define EXPIRY_INTERVAL_US (60 * JL_USEC_PER_SEC)
@@ -194,8 +197,9 @@
 }
 
 /*
- * Handles an update about this daemon. If it would override the own entry,
- * raises the incarnation above it, unless this daemon is leaving.
+ * Handles an update about this daemon. If the update would override this
+ * daemon's entry, raises the incarnation above that of the update, unless this
+ * daemon is leaving.
  */
 static void
 refute (struct jl_core *core, const struct jl_member_info *info)
--- a/source/tool/main.c
+++ b/source/tool/main.c
@@ -23,15 +23,15 @@
       "  show         print the document in force\n"
       "  status       print a one-line summary of each daemon\n"
       "  dump         print the complete state of each daemon\n"
-      "  drain        start a graceful shutdown of each daemon\v"
+      "  drain        begin a graceful shutdown of each daemon\v"
       "apply replaces the version in force; with --base it fails if another "
       "version is in force. It then sends the document to each given daemon; "
       "an unreachable daemon does not change the exit status, since the daemon "
       "gets the document from the platform or its peers later. show reads from "
       "the platform if --platform is given, else from the first daemon.\n\n"
-      "Exit status: 0 done, 1 rejected or invalid, 2 usage, 3 conflict with "
-      "another apply, 4 unreachable and without effect, 5 outcome unknown. "
-      "With several daemons, the exit status is the highest one.";
+      "Exit status: 0 done, 1 rejected or invalid, 2 invalid usage, 3 conflict "
+      "with another apply, 4 unreachable and without effect, 5 outcome "
+      "unknown. With several daemons, the exit status is the highest one.";
 
 static const struct argp_option options[] = {
   { "platform", 'p', "IP:PORT", 0, "The platform's table service", 0 },
