--- a/source/core/attempt-table.c
+++ b/source/core/attempt-table.c
@@ -4,14 +4,17 @@
 
 #include "attempt-table.h"
 
-/* Time for which an attempt is remembered; none is expected to arrive later. */
+/*
+ * Retention time of an entry; no copy of an attempt is expected to arrive
+ * later.
+ */
 #define ATTEMPT_RETENTION_US (120 * JL_USEC_PER_SEC)
 
 /**
  * struct attempt_entry - a received attempt
  * @work: number of its work item, 0 for none
  * @arrived_us: time of its arrival, or of the last renewal of the entry
- * @order: link in the list by @arrived_us, used for expiry
+ * @order: node in jl_attempt_table.order
  */
 struct attempt_entry
 {
@@ -22,6 +25,11 @@
   struct cds_list_head order;
 };
 
+/**
+ * struct jl_attempt_table - attempts received by this daemon
+ * @entries: maps attempts to struct attempt_entry
+ * @order: entries ordered by attempt_entry.arrived_us, oldest first
+ */
 struct jl_attempt_table
 {
   GHashTable *entries;
@@ -70,9 +78,9 @@
 jl_attempt_find_state (struct jl_core *core, struct jl_attempt_id attempt)
 {
   struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
-  return entry == NULL ? JL_ATTEMPT_UNSEEN : entry->state;
+  return entry == NULL ? JL_ATTEMPT_UNKNOWN : entry->state;
 }
 
 /*
@@ -82,7 +90,7 @@
 static void
 expire_entries (struct jl_core *core)
 {
-  struct jl_attempt_table *table = core->seen;
+  struct jl_attempt_table *table = core->attempt_table;
 
   while (!cds_list_empty (&table->order))
     {
@@ -107,7 +115,7 @@
                       struct jl_attempt_id attempt,
                       enum jl_attempt_state state)
 {
-  struct jl_attempt_table *table = core->seen;
+  struct jl_attempt_table *table = core->attempt_table;
   struct attempt_entry *entry = g_hash_table_lookup (table->entries, &attempt);
 
   if (entry != NULL)
@@ -130,7 +138,7 @@
                      uint64_t work)
 {
   struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
   if (entry != NULL)
     entry->work = work;
@@ -140,7 +148,7 @@
 jl_attempt_find_work (struct jl_core *core, struct jl_attempt_id attempt)
 {
   const struct attempt_entry *entry
-      = g_hash_table_lookup (core->seen->entries, &attempt);
+      = g_hash_table_lookup (core->attempt_table->entries, &attempt);
 
   return entry == NULL ? 0 : entry->work;
 }
--- a/source/core/cancel.c
+++ b/source/core/cancel.c
@@ -4,13 +4,13 @@
 
 #include "cancel.h"
 
-/* Delay before the second cancellation; it doubles with each further one. */
+/* Delay before the second cancellation; it doubles for each further one. */
 #define BACKOFF_MIN_US (20 * JL_USEC_PER_MSEC)
 /* Maximum number of cancellations for one attempt. */
 #define SEND_COUNT_MAX 10
 /*
- * Maximum number of attempts whose cancellation is repeated at a time. Beyond
- * it, an attempt gets a single cancellation.
+ * Maximum number of attempts whose cancellation is being repeated. Further
+ * attempts get a single cancellation each.
  */
 #define PENDING_CANCEL_MAX 4096
 
@@ -30,7 +30,7 @@
 
 struct jl_cancel_table
 {
-  GHashTable *pending; /* attempt number to struct pending_cancel */
+  GHashTable *pending; /* maps attempt numbers to struct pending_cancel */
 };
 
 struct jl_cancel_table *
@@ -74,7 +74,7 @@
 
   jl_cancel_send (core, cancel->to, cancel->attempt);
   if (++cancel->sent == SEND_COUNT_MAX)
-    g_hash_table_remove (core->withdraw->pending,
+    g_hash_table_remove (core->cancel_table->pending,
                          JL_HASH_KEY (cancel->attempt.number));
   else
     jl_timer_start (core->timers, timer,
@@ -87,7 +87,7 @@
                                struct jl_identity to,
                                struct jl_attempt_id attempt)
 {
-  GHashTable *pending = core->withdraw->pending;
+  GHashTable *pending = core->cancel_table->pending;
   struct pending_cancel *cancel;
 
   if (g_hash_table_size (pending) >= PENDING_CANCEL_MAX)
@@ -105,7 +105,7 @@
 void
 jl_cancel_answered (struct jl_core *core, struct jl_attempt_id attempt)
 {
-  GHashTable *pending = core->withdraw->pending;
+  GHashTable *pending = core->cancel_table->pending;
   struct pending_cancel *cancel
       = g_hash_table_lookup (pending, JL_HASH_KEY (attempt.number));
 
--- a/source/core/entry.c
+++ b/source/core/entry.c
@@ -33,7 +33,7 @@
   return call->priority / JL_SAMPLE_COUNT;
 }
 
-/* Answers a call that is refused before a struct jl_call exists for it. */
+/* Refuses a call for which no struct jl_call has been created. */
 static void
 refuse_event (struct jl_core *core,
               const struct jl_event_call *event,
@@ -53,7 +53,7 @@
   answer->tokens = event->forwarded ? event->tokens : 0;
   /*
    * The caller may have sent the request before, or an earlier attempt of the
-   * parent may have made the same call; that one may have run.
+   * parent may have made the same call. That earlier call may have run.
    */
   if (event->key_type != JL_KEY_NONE || event->parent != 0)
     answer->outcome = JL_OUTCOME_UNKNOWN;
@@ -107,7 +107,7 @@
   if (call->parent == NULL)
     answer->tokens = call->tokens;
   if (call->parent == NULL && !call->forwarded)
-    answer->next_ticket = jl_once_mint_ticket (core);
+    answer->next_ticket = jl_once_issue_ticket (core);
   count_answer (core, call, outcome);
   free_call (core, call);
   return answer;
@@ -133,7 +133,7 @@
                      + jl_random_below (core, RETRY_AFTER_DEFAULT_MS);
   if (at_most_once)
     retry_after_ms
-        = jl_once_settle (core, call, outcome, reason, retry_after_ms);
+        = jl_once_record_outcome (core, call, outcome, reason, retry_after_ms);
   answer = jl_entry_answer (core, call, outcome, reason);
   answer->store = at_most_once && outcome == JL_OUTCOME_DONE;
   if (outcome != JL_OUTCOME_DONE)
@@ -193,17 +193,17 @@
 }
 
 static void
-start_tree (struct jl_core *core,
-            struct jl_call *call,
-            const struct jl_event_call *event,
-            const struct jl_kind *kind)
+init_root_call (struct jl_core *core,
+                struct jl_call *call,
+                const struct jl_event_call *event,
+                const struct jl_kind *kind)
 {
   call->priority
       = kind->importance * JL_SAMPLE_COUNT + choose_sample (core, event);
   call->tokens = kind->retry_tokens;
   call->tokens_initial = call->tokens;
   call->anchor = event->key_type == JL_KEY_TICKET ? event->ticket
-                                                  : jl_once_mint_ticket (core);
+                                                  : jl_once_issue_ticket (core);
 }
 
 static struct jl_call *
@@ -228,7 +228,7 @@
   if (parent != NULL)
     inherit_from_parent (core, call, parent, event->ordinal);
   else
-    start_tree (core, call, event, kind);
+    init_root_call (core, call, event, kind);
   core->root_calls += parent == NULL;
   if (event->forwarded)
     {
@@ -242,11 +242,11 @@
   return call;
 }
 
-/* Only the minter of its ticket may send an at-most-once call to a target. */
+/* Only the issuer of its ticket may send an at-most-once call to a target. */
 static void
-dispatch_guarded (struct jl_core *core, struct jl_call *call)
+dispatch_at_most_once (struct jl_core *core, struct jl_call *call)
 {
-  if (call->ticket.minter.member != core->identity.member)
+  if (call->ticket.issuer.member != core->identity.member)
     {
       jl_entry_forward (core, call);
       return;
@@ -274,7 +274,7 @@
   struct jl_effect_claim *claim = &jl_emit (core, JL_EFFECT_CLAIM)->claim;
 
   call->state = JL_CALL_CLAIMING;
-  call->ticket = jl_once_mint_ticket (core);
+  call->ticket = jl_once_issue_ticket (core);
   claim->call = call->number;
   claim->key_hash = call->key_hash;
   claim->ticket = call->ticket;
@@ -284,8 +284,8 @@
 
 /*
  * Answers a call that may have waited in the socket while the process was
- * paused. Its caller may have given up and may already have got an answer to a
- * later transmission.
+ * paused. Its caller may have abandoned it and may already have received an
+ * answer to a later transmission.
  */
 static void
 answer_stale (struct jl_core *core, struct jl_call *call)
@@ -300,7 +300,7 @@
 
 /*
  * Whether a forwarded call was abandoned by the daemon that forwarded it. If
- * not, its attempt is recorded as accepted.
+ * the call was not abandoned, its attempt is recorded as accepted.
  */
 static bool
 is_abandoned (struct jl_core *core, const struct jl_event_call *event)
@@ -321,9 +321,9 @@
 }
 
 static void
-begin_guarded (struct jl_core *core,
-               struct jl_call *call,
-               const struct jl_event_call *event)
+begin_at_most_once (struct jl_core *core,
+                    struct jl_call *call,
+                    const struct jl_event_call *event)
 {
   if (call->has_key && core->now_us < core->stale_until_us)
     {
@@ -337,14 +337,14 @@
       claim_key (core, call);
       return;
     }
-  dispatch_guarded (core, call);
+  dispatch_at_most_once (core, call);
 }
 
 /*
  * Whether the limit on concurrent calls is reached for this importance class.
- * The most important class may use all of the call_max option; the share falls
- * linearly to a little over half for the least important class. A class is thus
- * refused only while all less important classes are refused too.
+ * The most important class may use the whole limit, call_max. The share of a
+ * class falls linearly to a little over half for the least important class. A
+ * class is thus refused only while all less important classes are refused too.
  */
 static bool
 is_call_limit_reached (const struct jl_core *core,
@@ -416,7 +416,7 @@
     }
   call = create_call (core, event, parent);
   if (call->at_most_once)
-    begin_guarded (core, call, event);
+    begin_at_most_once (core, call, event);
   else
     jl_entry_dispatch (core, call);
 }
@@ -436,8 +436,8 @@
       return;
     }
   jl_timer_stop (core->timers, &call->timer);
-  call->state = JL_CALL_NEW;
+  call->state = JL_CALL_IDLE;
   call->ticket = event->owner_ticket;
   jl_once_store_key (core, call->key_hash, call->ticket);
-  dispatch_guarded (core, call);
+  dispatch_at_most_once (core, call);
 }
--- a/source/core/guard.c
+++ b/source/core/guard.c
@@ -14,7 +14,7 @@
 #include "once.h"
 #include "poison.h"
 
-/* The target counts as down when it has not announced itself for this long. */
+/* The target counts as down if it does not announce itself for this long. */
 #define ANNOUNCE_LEASE_US (2500 * JL_USEC_PER_MSEC)
 /*
  * A draining daemon keeps refusing work for at least this long, so that its
@@ -22,11 +22,14 @@
  */
 #define DRAIN_NOTICE_US (2 * JL_USEC_PER_SEC)
 /*
- * A draining daemon accepts calls as an entry for at most this long, if there
- * are always calls in progress.
+ * Maximum time for which a draining daemon accepts calls from callers. It exits
+ * earlier if no call is in progress.
  */
 #define DRAIN_ENTRY_MAX_US (30 * JL_USEC_PER_SEC)
-/* Retry delay, plus up to 100% of jitter, of refusals not due to overload. */
+/*
+ * Retry delay of an attempt that is refused before admission. Up to 100% of
+ * jitter is added.
+ */
 #define RETRY_AFTER_BASE_MS 500
 
 static const struct jl_kind *
@@ -60,7 +63,7 @@
   core->target.service = JL_NONE;
   if (core->config != NULL)
     core->target.service
-        = jl_config_service (core->config, core->target.service_name);
+        = jl_config_find_service (core->config, core->target.service_name);
 }
 
 void
@@ -188,19 +191,19 @@
 void
 jl_guard_work (struct jl_core *core, const struct jl_event_work *event)
 {
-  enum jl_attempt_state seen = jl_attempt_find_state (core, event->attempt);
+  enum jl_attempt_state state = jl_attempt_find_state (core, event->attempt);
   enum jl_reason reason;
   struct jl_work *work;
 
-  if (seen == JL_ATTEMPT_TOMBSTONE
+  if (state == JL_ATTEMPT_TOMBSTONE
       && JL_SWITCHED_OFF (core, JL_MECHANISM_TOMBSTONE))
-    seen = JL_ATTEMPT_UNSEEN;
-  if (seen == JL_ATTEMPT_TOMBSTONE)
+    state = JL_ATTEMPT_UNKNOWN;
+  if (state == JL_ATTEMPT_TOMBSTONE)
     {
       refuse_event (core, event, JL_OUTCOME_NOT_RUN, JL_REASON_CANCELLED);
       return;
     }
-  if (seen != JL_ATTEMPT_UNSEEN)
+  if (state != JL_ATTEMPT_UNKNOWN)
     {
       refuse_event (core, event, JL_OUTCOME_UNKNOWN, JL_REASON_DUPLICATE);
       return;
@@ -270,7 +273,7 @@
   work->started_us = core->now_us;
   work->target_started = core->target.started;
   if (!kind_of (work)->idempotent)
-    work->anchor = jl_once_mint_ticket (core);
+    work->anchor = jl_once_issue_ticket (core);
   core->counts.runs[work->priority / JL_SAMPLE_COUNT]++;
   run = &jl_emit (core, JL_EFFECT_RUN)->run;
   run->work = work->number;
@@ -350,7 +353,7 @@
   struct jl_work *work
       = g_hash_table_lookup (core->works, JL_HASH_KEY (number));
 
-  /* This process does not know what an earlier process of the daemon ran. */
+  /* An earlier process of this daemon may have run the attempt. */
   if (message->to.epoch != core->identity.epoch)
     {
       answer_cancel (core, message, JL_MESSAGE_CANCEL_LATE);
@@ -365,9 +368,9 @@
     {
       work->cancelled = true;
       jl_entry_work_ended (core, work);
-      jl_emit (core, JL_EFFECT_ABORT)->abort_work = work->number;
+      jl_emit (core, JL_EFFECT_ABORT_WORK)->abort_work = work->number;
     }
-  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNSEEN)
+  if (jl_attempt_find_state (core, message->attempt) == JL_ATTEMPT_UNKNOWN)
     jl_attempt_set_state (core, message->attempt, JL_ATTEMPT_TOMBSTONE);
   answer_cancel (core, message,
                  jl_attempt_find_state (core, message->attempt)
@@ -377,8 +380,8 @@
 }
 
 /*
- * Only makes the reducer run a step: jl_guard_check_drained() is called at the
- * end of each.
+ * Does nothing. The timer only makes the reducer run a step, at the end of
+ * which jl_guard_check_drained() is called.
  */
 static void
 handle_drain_notice_end (void *context G_GNUC_UNUSED,
@@ -397,7 +400,7 @@
                   core->now_us + DRAIN_NOTICE_US, handle_drain_notice_end,
                   core);
   jl_members_leave (core);
-  jl_log_event (core, JL_LOG_DRAIN_BEGUN, 0, 0);
+  jl_log_event (core, JL_LOG_DRAIN_STARTED, 0, 0);
 }
 
 void
--- a/source/core/level.c
+++ b/source/core/level.c
@@ -11,18 +11,22 @@
 #define ADMITTED_WEIGHT_SHIFT 2
 /*
  * Weight of the newest window above the level: 1/64. The average decays more
- * slowly there, since refused callers back off and are not seen for a while.
+ * slowly there, since refused callers back off and send no requests for a
+ * while.
  */
 #define REFUSED_WEIGHT_SHIFT 6
 /* Share of the capacity that is admitted after an overloaded window. */
 #define OVERLOADED_CAPACITY_PERCENT 98
 /*
- * After this many consecutive overloaded windows, the demand admitted is
- * reduced to a share of what was admitted before.
+ * After this many consecutive overloaded windows, the level admits at most the
+ * given share of the demand that was admitted before.
+ */
+#define PERSISTENT_OVERLOAD_WINDOWS 3
+#define PERSISTENT_OVERLOAD_DEMAND_PERCENT 95
+/*
+ * First increase of the level, in priorities. Each further one is twice as
+ * large.
  */
-#define PERSISTENT_WINDOWS 3
-#define PERSISTENT_DEMAND_PERCENT 95
-/* The first step up, in priorities. Each further step is twice as large. */
 #define STEP_MIN 8
 #define STEP_MAX (JL_PRIORITY_COUNT / 2)
 
@@ -36,8 +40,8 @@
  * @refusals: number of refusals in this window
  * @refused_permille: moving average of the share of arrivals that were refused
  * @arrived: arrivals in this window by priority
- * @demand: fixed-point moving average of the arrivals per window by
- *          priority
+ * @demand: moving average of the arrivals per window by priority, in fixed
+ *          point
  */
 struct jl_level
 {
@@ -119,7 +123,7 @@
     }
 }
 
-/* Returns the highest level at which the demand admitted fits @capacity. */
+/* Returns the highest level at which the admitted demand fits @capacity. */
 static uint32_t
 highest_level_within (const struct jl_level *level, uint64_t capacity)
 {
@@ -173,9 +177,9 @@
   if (window->capacity_milli > 0)
     capacity
         = capacity_fixed_point (window) * OVERLOADED_CAPACITY_PERCENT / 100;
-  if (++level->overloaded_windows >= PERSISTENT_WINDOWS)
+  if (++level->overloaded_windows >= PERSISTENT_OVERLOAD_WINDOWS)
     capacity = MIN (capacity, demand_below (level, level->value)
-                                  * PERSISTENT_DEMAND_PERCENT / 100);
+                                  * PERSISTENT_OVERLOAD_DEMAND_PERCENT / 100);
   fitting = highest_level_within (level, capacity);
   fitting = MAX (fitting, min_level (level));
   level->value = MIN (level->value, fitting);
--- a/source/core/limit.c
+++ b/source/core/limit.c
@@ -5,11 +5,14 @@
 
 #include "limit.h"
 
-/* A new target starts with its slots divided by this. */
+/* Divisor of the slots for the initial limit of a new target. */
 #define COLD_START_DIVISOR 8
-/* The limit is never below the slots divided by this. */
+/* Divisor of the slots for the minimum of the limit. */
 #define MIN_LIMIT_DIVISOR 4
-/* The target counts as unloaded up to its slots divided by this. */
+/*
+ * Divisor of the slots for the number of requests in progress up to which the
+ * target counts as unloaded.
+ */
 #define UNLOADED_DIVISOR 4
 /* The newest sample has a weight of 1/32 in the moving averages. */
 #define MEAN_WEIGHT_SHIFT 5
@@ -32,21 +35,23 @@
  */
 #define RATE_TOLERANCE_PERCENT 8
 /*
- * Number of windows without trials after a lower limit brought no improvement.
- * It doubles with each further failure, up to the maximum.
+ * Number of windows without trials after a trial of a lower limit failed to
+ * improve the throughput. It doubles with each further failure, up to the
+ * maximum.
  */
 #define TRIAL_PAUSE_WINDOWS 200
 #define TRIAL_PAUSE_WINDOWS_MAX 6400
 /* The limit is raised by one step after this many windows without overload. */
-#define CALM_WINDOWS 20
+#define RAISE_INTERVAL_WINDOWS 20
 
 /**
  * struct trial - throughput measurement at one limit
- * @skip_count: completions still to be ignored, since these requests may have
- *              started under the previous limit
- * @count: completions counted after that
+ * @skip_count: number of completions still to be ignored, since their requests
+ *              may have started under the previous limit
+ * @count: number of completions counted after the ignored ones
  * @started_us: when counting started
- * @used_us: time for which slots were in use since then, summed over all slots
+ * @used_us: time for which slots were in use since @started_us, summed over all
+ *           slots
  */
 struct trial
 {
@@ -58,24 +63,25 @@
 
 /**
  * struct jl_limit - the limit and the measurements behind it
- * @cold_limit: limit by the age of the target process
- * @adaptive_limit: limit by the measured latency and throughput
+ * @cold_start_limit: limit that results from the age of the target process
+ * @adaptive_limit: limit that results from the measured latency and throughput
  * @started_us: when the target process was first announced
  * @mean_hold_us: moving average of the time for which a request holds its slot
  * @mean_latency_us: moving average of the latency of answers
  * @baseline_latency_us: moving average of the latency of answers without load
- * @running: requests in progress since @running_us
+ * @running: number of requests in progress
+ * @running_us: time of the last change of @running
  * @previous_rate: throughput at the previous limit in requests per second; 0 if
- *                 there is none to compare with
+ *                 it was not measured
  * @upward: whether the last step raised the limit
- * @calm_windows: consecutive windows without overload
+ * @windows_without_overload: consecutive windows without overload
  * @pause_windows: remaining windows in which no trial takes place
  * @next_pause_windows: length of the pause after the next failed trial
  */
 struct jl_limit
 {
   uint32_t slots;
-  uint32_t cold_limit;
+  uint32_t cold_start_limit;
   uint32_t adaptive_limit;
   uint64_t started_us;
   uint64_t cold_start_us;
@@ -88,7 +94,7 @@
   uint64_t running_us;
   uint64_t previous_rate;
   bool upward;
-  uint32_t calm_windows;
+  uint32_t windows_without_overload;
   uint32_t pause_windows;
   uint32_t next_pause_windows;
 };
@@ -111,7 +117,7 @@
 uint32_t
 jl_limit_get (const struct jl_limit *limit)
 {
-  return MIN (limit->cold_limit, limit->adaptive_limit);
+  return MIN (limit->cold_start_limit, limit->adaptive_limit);
 }
 
 uint64_t
@@ -132,9 +138,9 @@
   uint32_t first = divide_slots (limit->slots, COLD_START_DIVISOR);
   uint64_t age_us = now_us - limit->started_us;
 
-  limit->cold_limit = limit->slots;
+  limit->cold_start_limit = limit->slots;
   if (age_us < limit->cold_start_us)
-    limit->cold_limit
+    limit->cold_start_limit
         = first
           + (uint32_t)((limit->slots - first) * age_us / limit->cold_start_us);
 }
@@ -239,7 +245,7 @@
 
 /*
  * Tries a lower limit if the target is slow with all of its slots in use.
- * Pauses the trials if the previous one led back to all slots.
+ * Pauses the trials if the previous trial ended with all slots in use again.
  */
 static void
 evaluate_at_slots (struct jl_limit *limit, uint64_t rate)
@@ -281,10 +287,10 @@
   const struct trial *trial = &limit->trial;
   uint64_t span_us = MAX (limit->running_us - trial->started_us, 1);
   uint64_t rate = trial->count * JL_USEC_PER_SEC / span_us;
-  bool used = trial->used_us * 100
-              >= span_us * TRIAL_UTILIZATION_PERCENT * limit->adaptive_limit;
+  bool utilized = trial->used_us * 100 >= span_us * TRIAL_UTILIZATION_PERCENT
+                                              * limit->adaptive_limit;
 
-  if (!used)
+  if (!utilized)
     {
       begin_trial (limit);
       return;
@@ -298,12 +304,12 @@
 
 /* Raises the limit step by step while there is no overload. */
 static void
-handle_calm_window (struct jl_limit *limit)
+handle_window_without_overload (struct jl_limit *limit)
 {
   begin_trial (limit);
-  if (++limit->calm_windows < CALM_WINDOWS)
+  if (++limit->windows_without_overload < RAISE_INTERVAL_WINDOWS)
     return;
-  limit->calm_windows = 0;
+  limit->windows_without_overload = 0;
   limit->previous_rate = 0;
   limit->next_pause_windows = TRIAL_PAUSE_WINDOWS;
   step_limit (limit, true);
@@ -312,14 +318,14 @@
 void
 jl_limit_end_window (struct jl_limit *limit, uint64_t now_us, bool overloaded)
 {
-  if (limit->cold_limit < limit->slots)
+  if (limit->cold_start_limit < limit->slots)
     update_cold_limit (limit, now_us);
   if (!overloaded)
     {
-      handle_calm_window (limit);
+      handle_window_without_overload (limit);
       return;
     }
-  limit->calm_windows = 0;
+  limit->windows_without_overload = 0;
   if (limit->pause_windows > 0)
     {
       limit->pause_windows--;
@@ -332,6 +338,6 @@
 bool
 jl_limit_settled (const struct jl_limit *limit)
 {
-  return limit->cold_limit == limit->slots
+  return limit->cold_start_limit == limit->slots
          && limit->adaptive_limit == limit->slots;
 }
--- a/source/core/once.c
+++ b/source/core/once.c
@@ -12,26 +12,27 @@
 #include "entry.h"
 
 /*
- * Time for which the state of a used ticket is kept, and for which an unused
- * ticket is valid.
+ * Retention time of the state of a used ticket, and validity of an unused
+ * ticket.
  */
 #define TICKET_RETENTION_US (600 * JL_USEC_PER_SEC)
-/* Maximum number of used tickets; beyond it the oldest expire early. */
+/* Maximum number of used tickets. The oldest tickets in excess expire early. */
 #define TICKET_MAX (256 * 1024)
-/* Interval at which the highest number minted so far is recorded. */
-#define MINT_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
-#define MINT_MARK_MAX 64
+/* Interval at which the highest number issued so far is recorded. */
+#define ISSUE_MARK_INTERVAL_US (10 * JL_USEC_PER_SEC)
+/* Maximum number of such records. */
+#define ISSUE_MARK_MAX 64
 /* The key table is a cache; the platform's table is authoritative. */
 #define KEY_RETENTION_US (600 * JL_USEC_PER_SEC)
 #define KEY_MAX (64 * 1024)
-/* Retry delay for a duplicate of a request that is in progress. */
+/* Retry delay of a duplicate whose original request is in progress. */
 #define IN_PROGRESS_RETRY_AFTER_MS 200
 /* Minimum time after a refusal during which no further run is granted. */
 #define REGRANT_DELAY_MIN_MS 500
 
 /**
  * enum ticket_state - state of a used ticket
- * @TICKET_IDLE: no attempt under it has run
+ * @TICKET_IDLE: no run under the ticket has taken place or is in progress
  * @TICKET_IN_PROGRESS: a run is granted and has not ended
  * @TICKET_DONE: the request ran and was answered completely
  * @TICKET_UNKNOWN: the request may have run and is never sent again
@@ -46,13 +47,14 @@
 
 /**
  * struct ticket_entry - a used ticket
- * @may_have_run: a granted run was not confirmed as not run
- * @reason: why the request was not run, with TICKET_IDLE
+ * @may_have_run: whether a granted run may have taken place
+ * @reason: why the last granted run did not take place, with TICKET_IDLE
  * @digest: digest of the request's content
  * @tokens: retry tokens that the request has left
- * @regrant_after_us: no run is granted before, see jl_once_settle()
- * @settled_us: time at which its last granted run ended
- * @order: link in the list by @settled_us; unlinked while a run is in progress
+ * @regrant_after_us: time before which no run is granted, see
+ *                    jl_once_record_outcome()
+ * @ended_us: time at which its last granted run ended
+ * @order: node in jl_once.order, unlinked while a run is in progress
  */
 struct ticket_entry
 {
@@ -63,12 +65,13 @@
   uint64_t digest;
   uint32_t tokens;
   uint64_t regrant_after_us;
-  uint64_t settled_us;
+  uint64_t ended_us;
   struct cds_list_head order;
 };
 
 /**
  * struct key_entry - a caller's key and its ticket
+ * @order: node in jl_once.key_order
  */
 struct key_entry
 {
@@ -79,17 +82,17 @@
 };
 
 /**
- * struct mint_mark - the highest ticket number minted by a point in time
+ * struct issue_mark - the highest ticket number issued by a point in time
  */
-struct mint_mark
+struct issue_mark
 {
   uint64_t number;
-  uint64_t minted_us;
+  uint64_t issued_us;
 };
 
 /**
  * struct jl_once - tickets and keys of one daemon
- * @minted: highest ticket number minted
+ * @issued: highest ticket number issued
  * @expired_upto: highest expired ticket number
  * @mark_first: index of the oldest element of @marks, which is a ring buffer
  * @order: used tickets without a run in progress, by the end of their last run
@@ -97,11 +100,11 @@
  */
 struct jl_once
 {
-  uint64_t minted;
+  uint64_t issued;
   uint64_t expired_upto;
   uint32_t mark_first;
   uint32_t mark_count;
-  struct mint_mark marks[MINT_MARK_MAX];
+  struct issue_mark marks[ISSUE_MARK_MAX];
   GHashTable *tickets;
   GHashTable *keys;
   struct cds_list_head order;
@@ -145,50 +148,52 @@
   g_free (once);
 }
 
-/* Expires ticket numbers by the mint marks that are past their time. */
+/*
+ * Expires the ticket numbers up to the last issue mark past its retention time.
+ */
 static void
-expire_mint_marks (struct jl_core *core)
+expire_issue_marks (struct jl_core *core)
 {
   struct jl_once *once = core->once;
 
   while (once->mark_count > 0)
     {
-      const struct mint_mark *mark = &once->marks[once->mark_first];
+      const struct issue_mark *mark = &once->marks[once->mark_first];
 
-      if (mark->minted_us + TICKET_RETENTION_US > core->now_us)
+      if (mark->issued_us + TICKET_RETENTION_US > core->now_us)
         return;
       once->expired_upto = mark->number;
-      once->mark_first = (once->mark_first + 1) % MINT_MARK_MAX;
+      once->mark_first = (once->mark_first + 1) % ISSUE_MARK_MAX;
       once->mark_count--;
     }
 }
 
-/* Records the highest number minted, at most once per interval. */
+/* Records the highest number issued, at most once per interval. */
 static void
-add_mint_mark (struct jl_core *core)
+add_issue_mark (struct jl_core *core)
 {
   struct jl_once *once = core->once;
-  uint32_t last = (once->mark_first + once->mark_count - 1) % MINT_MARK_MAX;
+  uint32_t last = (once->mark_first + once->mark_count - 1) % ISSUE_MARK_MAX;
 
-  if (once->mark_count == MINT_MARK_MAX)
+  if (once->mark_count == ISSUE_MARK_MAX)
     return;
   if (once->mark_count > 0
-      && once->marks[last].minted_us + MINT_MARK_INTERVAL_US > core->now_us)
+      && once->marks[last].issued_us + ISSUE_MARK_INTERVAL_US > core->now_us)
     return;
-  last = (once->mark_first + once->mark_count) % MINT_MARK_MAX;
-  once->marks[last].number = once->minted;
-  once->marks[last].minted_us = core->now_us;
+  last = (once->mark_first + once->mark_count) % ISSUE_MARK_MAX;
+  once->marks[last].number = once->issued;
+  once->marks[last].issued_us = core->now_us;
   once->mark_count++;
 }
 
 struct jl_ticket
-jl_once_mint_ticket (struct jl_core *core)
+jl_once_issue_ticket (struct jl_core *core)
 {
-  struct jl_ticket ticket = { .minter = core->identity };
+  struct jl_ticket ticket = { .issuer = core->identity };
 
-  expire_mint_marks (core);
-  ticket.number = ++core->once->minted;
-  add_mint_mark (core);
+  expire_issue_marks (core);
+  ticket.number = ++core->once->issued;
+  add_issue_mark (core);
   return ticket;
 }
 
@@ -205,9 +210,9 @@
 }
 
 /*
- * Removes used tickets that are past their time or in excess of the maximum.
- * Their numbers, and all lower ones, expire, so that an unused ticket with such
- * a number isn't valid any more either.
+ * Removes used tickets that are past their retention time or exceed the
+ * maximum. Their numbers and all lower numbers expire, so that unused tickets
+ * with such numbers become invalid too.
  */
 static void
 expire_tickets (struct jl_core *core)
@@ -219,7 +224,7 @@
       struct ticket_entry *oldest
           = cds_list_first_entry (&once->order, struct ticket_entry, order);
 
-      if (oldest->settled_us + TICKET_RETENTION_US > core->now_us
+      if (oldest->ended_us + TICKET_RETENTION_US > core->now_us
           && g_hash_table_size (once->tickets) <= TICKET_MAX)
         return;
       once->expired_upto = MAX (once->expired_upto, oldest->ticket.number);
@@ -254,18 +259,22 @@
 
 /* Records the end of a granted run. */
 static void
-settle (struct jl_core *core,
-        struct ticket_entry *entry,
-        enum ticket_state state)
+end_grant (struct jl_core *core,
+           struct ticket_entry *entry,
+           enum ticket_state state)
 {
   entry->state = state;
   entry->may_have_run = state != TICKET_IDLE;
-  entry->settled_us = core->now_us;
+  entry->ended_us = core->now_us;
   cds_list_add_tail (&entry->order, &core->once->order);
   expire_tickets (core);
 }
 
-/* Answers a call that may not be sent. Returns false for jl_once_grant(). */
+/*
+ * Answers a call that may not be sent.
+ *
+ * Return: false, the result of jl_once_grant().
+ */
 static bool
 answer_ungranted (struct jl_core *core,
                   struct jl_call *call,
@@ -283,20 +292,20 @@
   return false;
 }
 
-/* Whether this process minted the ticket and the ticket has not expired. */
+/* Whether this process issued the ticket and the ticket has not expired. */
 static bool
 is_ticket_valid (const struct jl_core *core, struct jl_ticket ticket)
 {
-  return jl_identity_equal (ticket.minter, core->identity)
-         && ticket.number <= core->once->minted
+  return jl_identity_equal (ticket.issuer, core->identity)
+         && ticket.number <= core->once->issued
          && ticket.number > core->once->expired_upto;
 }
 
-/* Answers a request whose last outcome, "not run", is still recent. */
+/* Answers a request that is repeated before its retry delay is over. */
 static bool
-answer_too_early (struct jl_core *core,
-                  struct jl_call *call,
-                  const struct ticket_entry *entry)
+answer_before_regrant (struct jl_core *core,
+                       struct jl_call *call,
+                       const struct ticket_entry *entry)
 {
   uint64_t wait_us = entry->regrant_after_us - core->now_us;
 
@@ -330,8 +339,8 @@
       break;
     }
   if (core->now_us < entry->regrant_after_us)
-    return answer_too_early (core, call, entry);
-  /* A call below the root of its tree uses tokens that the tree lent to it. */
+    return answer_before_regrant (core, call, entry);
+  /* A call below the root of its tree uses tokens that were lent to it. */
   if (call->ticket.branch == 0)
     call->tokens = MIN (call->tokens, entry->tokens);
   grant (entry);
@@ -345,7 +354,7 @@
 
   if (JL_SWITCHED_OFF (core, JL_MECHANISM_ONCE))
     return true;
-  expire_mint_marks (core);
+  expire_issue_marks (core);
   expire_tickets (core);
   entry = g_hash_table_lookup (core->once->tickets, &call->ticket);
   if (entry != NULL)
@@ -358,11 +367,11 @@
 }
 
 uint32_t
-jl_once_settle (struct jl_core *core,
-                struct jl_call *call,
-                enum jl_outcome outcome,
-                enum jl_reason reason,
-                uint32_t retry_after_ms)
+jl_once_record_outcome (struct jl_core *core,
+                        struct jl_call *call,
+                        enum jl_outcome outcome,
+                        enum jl_reason reason,
+                        uint32_t retry_after_ms)
 {
   struct ticket_entry *entry;
 
@@ -376,22 +385,25 @@
   entry->reason = reason;
   entry->regrant_after_us = core->now_us + retry_after_ms * JL_USEC_PER_MSEC;
   if (outcome == JL_OUTCOME_DONE)
-    settle (core, entry, TICKET_DONE);
+    end_grant (core, entry, TICKET_DONE);
   else if (outcome == JL_OUTCOME_NOT_RUN)
-    settle (core, entry, TICKET_IDLE);
+    end_grant (core, entry, TICKET_IDLE);
   else
-    settle (core, entry, TICKET_UNKNOWN);
+    end_grant (core, entry, TICKET_UNKNOWN);
   return retry_after_ms;
 }
 
 static void
-drop_key (struct jl_once *once, struct key_entry *entry)
+remove_key (struct jl_once *once, struct key_entry *entry)
 {
   cds_list_del (&entry->order);
   g_hash_table_remove (once->keys, JL_HASH_KEY (entry->key_hash));
 }
 
-/* Removes keys that are past their time, and the oldest beyond the maximum. */
+/*
+ * Removes keys that are past their retention time, and the oldest keys in
+ * excess of the maximum.
+ */
 static void
 expire_keys (struct jl_core *core)
 {
@@ -405,7 +417,7 @@
       if (oldest->stored_us + KEY_RETENTION_US > core->now_us
           && g_hash_table_size (once->keys) <= KEY_MAX)
         return;
-      drop_key (once, oldest);
+      remove_key (once, oldest);
     }
 }
 
@@ -434,7 +446,7 @@
       = g_hash_table_lookup (once->keys, JL_HASH_KEY (key_hash));
 
   if (entry != NULL)
-    drop_key (once, entry);
+    remove_key (once, entry);
   entry = g_new0 (struct key_entry, 1);
   entry->key_hash = key_hash;
   entry->ticket = ticket;
@@ -449,6 +461,6 @@
 {
   g_string_append_printf (
       out, "{\"minted\":%" PRIu64 ",\"used\":%u,\"keys\":%u}",
-      core->once->minted, g_hash_table_size (core->once->tickets),
+      core->once->issued, g_hash_table_size (core->once->tickets),
       g_hash_table_size (core->once->keys));
 }
--- a/source/core/once.h
+++ b/source/core/once.h
@@ -4,9 +4,10 @@
 /**
  * DOC: At-most-once execution of requests that are not idempotent.
  *
- * A ticket identifies a request. Only the daemon that minted the ticket grants
- * runs under it: one at a time, and none after a run that may have taken place.
- * If that daemon fails or restarts, no run is granted any more.
+ * A ticket identifies a request. Only the daemon that issued the ticket grants
+ * runs under it: one run at a time, and no further run after one that may have
+ * taken place. If that daemon fails or restarts, no more runs are granted under
+ * the ticket.
  */
 
 #include "core-impl.h"
@@ -15,9 +16,9 @@
 void jl_once_drop (struct jl_once *once);
 
 /**
- * jl_once_mint_ticket - returns a new ticket minted by this daemon
+ * jl_once_issue_ticket - returns a new ticket issued by this daemon
  */
-struct jl_ticket jl_once_mint_ticket (struct jl_core *core);
+struct jl_ticket jl_once_issue_ticket (struct jl_core *core);
 
 /**
  * jl_once_derive_ticket - returns the ticket of a call that a target makes
@@ -34,30 +35,31 @@
 
 /**
  * jl_once_grant - grants a run of @call under its ticket, which this daemon
- * minted
+ * issued
  *
  * Return: true if the call may be sent; false if it was answered instead.
  */
 bool jl_once_grant (struct jl_core *core, struct jl_call *call);
 
 /**
- * jl_once_settle - records the final outcome of a granted run
+ * jl_once_record_outcome - records the final outcome of a granted run
  * @outcome: after JL_OUTCOME_NOT_RUN another run may be granted
- * @retry_after_ms: retry delay that the caller will be given
+ * @retry_after_ms: proposed retry delay for the caller
  *
  * After JL_OUTCOME_NOT_RUN no run is granted until the retry delay is over: a
  * transmission that arrives earlier may be one that its caller has abandoned.
  *
  * Return: retry delay to give to the caller, at least @retry_after_ms.
  */
-uint32_t jl_once_settle (struct jl_core *core,
-                         struct jl_call *call,
-                         enum jl_outcome outcome,
-                         enum jl_reason reason,
-                         uint32_t retry_after_ms);
+uint32_t jl_once_record_outcome (struct jl_core *core,
+                                 struct jl_call *call,
+                                 enum jl_outcome outcome,
+                                 enum jl_reason reason,
+                                 uint32_t retry_after_ms);
 
 /**
  * jl_once_find_key - looks up the ticket of a caller's key
+ * @ticket: set to the ticket, if the key is found
  *
  * Return: false if the key isn't in the local table.
  */
--- a/source/policy/load-shedder.c
+++ b/source/policy/load-shedder.c
@@ -11,29 +11,31 @@
 #define HOLD_WEIGHT 0.03
 /* Weight of a window in the moving average of the arrival rate. */
 #define RATE_WEIGHT 0.25
-/* Utilization up to which requests of other zones are admitted. */
+/* Utilization up to which capacity is offered to other zones. */
 #define SPARE_UTILIZATION 0.85
 /* Time in which the queue should reach the desired length, in seconds. */
 #define QUEUE_CORRECTION_S 0.5
 /* Desired queue length for each slot. It keeps the target busy while arrivals
  * fluctuate. */
 #define QUEUE_PER_SLOT 0.6
-/* Share of the difference to the computed share that one window corrects. */
+/* Fraction of the difference to the computed share by which one window raises
+ * or lowers the shed share. */
 #define STEP_UP_SHARE 0.5
 #define STEP_DOWN_SHARE 0.2
-/* Largest share that is refused. The requests that remain show the demand. */
-#define SHED_MAX 0.995
-/* Smaller shares become 0 once nothing has to be refused. */
-#define SHED_MIN 0.01
+/* Maximum shed share. The admitted requests are needed to measure the demand.
+ */
+#define SHED_SHARE_MAX 0.995
+/* A smaller shed share becomes 0 once no demand has to be refused. */
+#define SHED_SHARE_MIN 0.01
 
 void
 jl_load_shedder_init (struct jl_load_shedder *shedder)
 {
   memset (shedder, 0, sizeof *shedder);
   shedder->spare_share = 1;
-  shedder->admitted = 1;
+  shedder->admitted_share = 1;
   for (unsigned i = 0; i < JL_CONTROL_DELAY_WINDOWS; i++)
-    shedder->history[i] = 1;
+    shedder->admitted_history[i] = 1;
 }
 
 void
@@ -43,9 +45,9 @@
 }
 
 void
-jl_load_shedder_record_hold (struct jl_load_shedder *shedder, uint64_t held_us)
+jl_load_shedder_record_hold (struct jl_load_shedder *shedder, uint64_t hold_us)
 {
-  double held = (double)held_us;
+  double held = (double)hold_us;
 
   if (shedder->hold_us <= 0)
     shedder->hold_us = held;
@@ -73,26 +75,27 @@
 /* Averages the admitted share of JL_CONTROL_DELAY_WINDOWS windows ago, which
  * shows in the arrivals of this window, and stores the current one. */
 static void
-update_admitted (struct jl_load_shedder *shedder)
+update_admitted_share (struct jl_load_shedder *shedder)
 {
-  double *slot = &shedder->history[shedder->window % JL_CONTROL_DELAY_WINDOWS];
+  double *slot
+      = &shedder->admitted_history[shedder->window % JL_CONTROL_DELAY_WINDOWS];
 
-  shedder->admitted += RATE_WEIGHT * (*slot - shedder->admitted);
-  *slot = 1 - shedder->shed;
+  shedder->admitted_share += RATE_WEIGHT * (*slot - shedder->admitted_share);
+  *slot = 1 - shedder->shed_share;
   shedder->window++;
 }
 
 static void
-update_shed (struct jl_load_shedder *shedder, double desired)
+update_shed_share (struct jl_load_shedder *shedder, double desired)
 {
-  double demand = shedder->rate / shedder->admitted;
+  double demand = shedder->arrival_rate / shedder->admitted_share;
   double shed = demand > desired ? 1 - desired / demand : 0;
-  double step = shed > shedder->shed ? STEP_UP_SHARE : STEP_DOWN_SHARE;
+  double step = shed > shedder->shed_share ? STEP_UP_SHARE : STEP_DOWN_SHARE;
 
-  shedder->shed += step * (shed - shedder->shed);
-  if (shed <= 0 && shedder->shed < SHED_MIN)
-    shedder->shed = 0;
-  shedder->shed = MIN (shedder->shed, SHED_MAX);
+  shedder->shed_share += step * (shed - shedder->shed_share);
+  if (shed <= 0 && shedder->shed_share < SHED_SHARE_MIN)
+    shedder->shed_share = 0;
+  shedder->shed_share = MIN (shedder->shed_share, SHED_SHARE_MAX);
 }
 
 void
@@ -105,11 +108,11 @@
                 / (double)JL_CONTROL_WINDOW_US;
 
   shedder->arrivals = 0;
-  shedder->rate += RATE_WEIGHT * (rate - shedder->rate);
-  update_admitted (shedder);
+  shedder->arrival_rate += RATE_WEIGHT * (rate - shedder->arrival_rate);
+  update_admitted_share (shedder);
   if (capacity <= 0)
     return;
-  update_shed (shedder, desired_rate (capacity, limit, waiting));
+  update_shed_share (shedder, desired_rate (capacity, limit, waiting));
   shedder->spare_share
-      = CLAMP (SPARE_UTILIZATION - shedder->rate / capacity, 0, 1);
+      = CLAMP (SPARE_UTILIZATION - shedder->arrival_rate / capacity, 0, 1);
 }
--- a/source/proxy/beacon.c
+++ b/source/proxy/beacon.c
@@ -1,13 +1,13 @@
 /**
  * DOC: Beacons: UDP datagrams in which each daemon announces its state.
  *
- * A daemon sends a full beacon to its own zone every second. Traffic to other
+ * A daemon sends a full beacon to the local zone every second. Traffic to other
  * zones is expensive: they get a brief beacon, with only the values that change
  * often, every two seconds, and a full beacon every five seconds. Beacons are
- * sent more often while the refused share, the spare capacity or the failure
- * ratio of the target changes, and at once when its state changes or another
- * daemon starts. A lost beacon is not resent, as the next one replaces it. If a
- * zone has many targets of a service, each sends beacons to only a share of the
+ * sent more often while the shed share, the spare capacity or the failure rate
+ * of the target changes, and at once when its state changes or another daemon
+ * starts. A lost beacon is not resent, as the next one replaces it. If a zone
+ * has many targets of a service, each sends beacons to only a share of the
  * daemons of other zones.
  */
 
@@ -23,32 +23,32 @@
 #define BEACON_FORMAT_FULL 1
 #define BEACON_FORMAT_BRIEF 2
 #define DATAGRAM_BYTES_MAX 1400
-/* Period of beacons to the own zone. */
-#define OWN_ZONE_PERIOD_US (1000 * JL_USEC_PER_MSEC)
+/* Period of beacons to the local zone. */
+#define LOCAL_ZONE_PERIOD_US (1000 * JL_USEC_PER_MSEC)
 /* Period of beacons, brief or full, to other zones. */
 #define OTHER_ZONE_PERIOD_US (2000 * JL_USEC_PER_MSEC)
 /* Period of full beacons to other zones. */
 #define OTHER_ZONE_FULL_PERIOD_US (5 * JL_USEC_PER_SEC)
 /* Minimum interval of beacons to other zones, unless the state has changed. */
 #define OTHER_ZONE_GAP_US (400 * JL_USEC_PER_MSEC)
-/* Period of checks for changed values; the period of beacons to the own zone
+/* Period of checks for changed values; the period of beacons to the local zone
  * while the values keep changing. */
 #define CHECK_PERIOD_US (200 * JL_USEC_PER_MSEC)
-/* Minimum interval of rounds of beacons. */
+/* Minimum interval between two rounds of beacons. */
 #define ROUND_GAP_US (20 * JL_USEC_PER_MSEC)
-/* Change of the refused share that is announced at once. The spare capacity and
- * the failure ratio use multiples of it. */
+/* Change of the shed share that is announced at once. The spare capacity and
+ * the failure rate use multiples of it. */
 #define CHANGE_MIN_RATIO 0.03
 
 /**
  * struct jl_beacon - sender and receiver of beacons
  * @sequence: number of the last beacon sent
- * @sent_own_zone_us: time of the last beacons to the own zone
+ * @sent_local_zone_us: time of the last beacons to the local zone
  * @sent_other_zones_us: time of the last beacons to other zones
  * @sent_full_us: time of the last full beacons to other zones
- * @sent_shed: refused share last sent to the own zone
- * @sent_room: spare capacity last sent to the own zone
- * @sent_failing: failure ratio last sent to the own zone
+ * @sent_shed_share: shed share last sent to the local zone
+ * @sent_spare_share: spare capacity last sent to the local zone
+ * @sent_failure_rate: failure rate last sent to the local zone
  * @buffer: received datagram
  */
 struct jl_beacon
@@ -57,12 +57,12 @@
   uv_udp_t socket;
   struct jl_timer timer;
   uint64_t sequence;
-  uint64_t sent_own_zone_us;
+  uint64_t sent_local_zone_us;
   uint64_t sent_other_zones_us;
   uint64_t sent_full_us;
-  double sent_shed;
-  double sent_room;
-  double sent_failing;
+  double sent_shed_share;
+  double sent_spare_share;
+  double sent_failure_rate;
   char buffer[DATAGRAM_BYTES_MAX];
 };
 
@@ -95,18 +95,19 @@
                      message->arrivals.arrivals_val[i].count_centi / 100.0);
 }
 
-/* Logs a change that a full beacon announces: a daemon that was not heard, a
- * new incarnation of the daemon or of its target, or another state. */
+/* Logs a change that a full beacon announces: a daemon whose beacons were
+ * missing, a new incarnation of the daemon or of its target, or another state.
+ */
 static void
 log_change (const struct jl_member *member,
             const struct beacon_message *message,
             uint64_t now_us)
 {
-  bool was_heard = jl_member_is_alive (member, now_us);
+  bool was_alive = jl_member_is_alive (member, now_us);
 
   if (message->format == BEACON_FORMAT_BRIEF)
     return;
-  if (was_heard && member->epoch == message->epoch
+  if (was_alive && member->epoch == message->epoch
       && member->state == (enum jl_target_state)message->state
       && strcmp (member->target, message->target) == 0)
     return;
@@ -114,7 +115,7 @@
              "name=%s zone=%s service=%s target=%s state=%s heard_before=%d "
              "sequence=%" PRIu64,
              member->name, message->zone, message->service, message->target,
-             jl_target_state_name (message->state), was_heard,
+             jl_target_state_name (message->state), was_alive,
              (uint64_t)message->sequence);
 }
 
@@ -140,7 +141,7 @@
   member->sequence = message->sequence;
   member->state = (enum jl_target_state)message->state;
   member->limit = message->limit;
-  member->shed = message->shed_milli / 1000.0;
+  member->shed_share = message->shed_milli / 1000.0;
   member->spare_share = message->room_milli / 1000.0;
   member->capacity
       = message->hold_us > 0 ? member->limit * 1e6 / message->hold_us : 0;
@@ -166,7 +167,7 @@
       || message->state > JL_TARGET_DOWN
       || strcmp (message->name, proxy->options->name) == 0)
     return;
-  member = jl_roster_member (&proxy->roster, message->name);
+  member = jl_roster_get_or_add (&proxy->roster, message->name);
   if (!jl_member_beacon_is_newer (member, message->epoch, message->sequence,
                                   now_us))
     return;
@@ -176,8 +177,8 @@
   log_change (member, message, now_us);
   if (member->epoch != message->epoch)
     {
-      /* A new incarnation: connections to the previous one are closed, and the
-       * daemon knows no other daemon yet. */
+      /* The daemon has started again: its old connections are closed, and it
+       * does not know the other daemons yet. */
       jl_pool_close_endpoint (proxy->peer_pool, member->peer);
       jl_beacon_send_soon (proxy->beacon);
     }
@@ -241,7 +242,7 @@
 
   for (unsigned i = 0; i < arrivals->count; i++)
     {
-      list[i].route = arrivals->list[i].route;
+      list[i].route = arrivals->list[i].route_key;
       list[i].count_centi = (u_int)lround (arrivals->list[i].count * 100);
     }
   return arrivals->count;
@@ -251,24 +252,24 @@
 encode (struct jl_beacon *beacon, bool full, char *datagram)
 {
   struct jl_proxy *proxy = beacon->proxy;
-  static char none[] = "";
+  static char empty[] = "";
   struct beacon_fanout fanout[BEACON_FANOUT_MAX];
   struct beacon_arrival arrivals[BEACON_ARRIVALS_MAX];
   struct beacon_message message = {
     .format = full ? BEACON_FORMAT_FULL : BEACON_FORMAT_BRIEF,
     .name = proxy->options->name,
-    .zone = full ? proxy->options->zone : none,
-    .service = full ? (char *)jl_proxy_service (proxy) : none,
-    .target = full ? proxy->target.last.id : none,
+    .zone = full ? proxy->options->zone : empty,
+    .service = full ? (char *)jl_proxy_service (proxy) : empty,
+    .target = full ? proxy->target.last.id : empty,
     .ip = proxy->options->advertise.ip,
     .port = proxy->options->advertise.port,
     .epoch = proxy->epoch,
     .sequence = ++beacon->sequence,
     .state = proxy->self->state,
     .limit = proxy->lane.limit,
-    .shed_milli = (u_int)lround (proxy->pressure.shed * 1000),
-    .room_milli = (u_int)lround (proxy->pressure.spare_share * 1000),
-    .hold_us = (u_int)proxy->pressure.hold_us,
+    .shed_milli = (u_int)lround (proxy->load_shedder.shed_share * 1000),
+    .room_milli = (u_int)lround (proxy->load_shedder.spare_share * 1000),
+    .hold_us = (u_int)proxy->load_shedder.hold_us,
     .failing_milli = (u_int)lround (proxy->self->failure_rate * 1000),
     .site_version = proxy->site != NULL ? proxy->site->version : 0,
   };
@@ -305,10 +306,10 @@
     beacon->proxy->counters.beacons_sent++;
 }
 
-/* Sends a beacon to all daemons of the own zone, or to the chosen share of the
- * daemons of other zones. */
+/* Sends a beacon to all daemons of the local zone, or to the chosen share of
+ * the daemons of other zones. */
 static void
-send_to_members (struct jl_beacon *beacon, bool own_zone, bool full)
+send_to_members (struct jl_beacon *beacon, bool local_zone, bool full)
 {
   struct jl_proxy *proxy = beacon->proxy;
   char datagram[DATAGRAM_BYTES_MAX];
@@ -322,22 +323,22 @@
           = g_ptr_array_index (proxy->roster.members, i);
 
       if (member == proxy->self || member->peer.port == 0
-          || is_same_zone (proxy, member) != own_zone)
+          || is_same_zone (proxy, member) != local_zone)
         continue;
-      if (own_zone || jl_member_announces_to (proxy->self, member, share))
+      if (local_zone || jl_member_announces_to (proxy->self, member, share))
         send_to (beacon, member->peer, datagram, size);
     }
 }
 
 static void
-send_to_own_zone (struct jl_beacon *beacon)
+send_to_local_zone (struct jl_beacon *beacon)
 {
   const struct jl_proxy *proxy = beacon->proxy;
 
-  beacon->sent_own_zone_us = jl_now ();
-  beacon->sent_shed = proxy->pressure.shed;
-  beacon->sent_room = proxy->pressure.spare_share;
-  beacon->sent_failing = proxy->self->failure_rate;
+  beacon->sent_local_zone_us = jl_now ();
+  beacon->sent_shed_share = proxy->load_shedder.shed_share;
+  beacon->sent_spare_share = proxy->load_shedder.spare_share;
+  beacon->sent_failure_rate = proxy->self->failure_rate;
   send_to_members (beacon, true, true);
 }
 
@@ -350,19 +351,19 @@
   send_to_members (beacon, false, full);
 }
 
-/* Whether the values have changed enough since the last beacons to the own
+/* Whether the values have changed enough since the last beacons to the local
  * zone. */
 static bool
 has_changed (const struct jl_beacon *beacon)
 {
-  const struct jl_load_shedder *pressure = &beacon->proxy->pressure;
+  const struct jl_load_shedder *shedder = &beacon->proxy->load_shedder;
 
-  return fabs (pressure->shed - beacon->sent_shed) > CHANGE_MIN_RATIO
-         || fabs (pressure->spare_share - beacon->sent_room)
+  return fabs (shedder->shed_share - beacon->sent_shed_share) > CHANGE_MIN_RATIO
+         || fabs (shedder->spare_share - beacon->sent_spare_share)
                 > CHANGE_MIN_RATIO * 3
-         || fabs (beacon->proxy->self->failure_rate - beacon->sent_failing)
+         || fabs (beacon->proxy->self->failure_rate - beacon->sent_failure_rate)
                 > CHANGE_MIN_RATIO * 2
-         || (pressure->shed > 0) != (beacon->sent_shed > 0);
+         || (shedder->shed_share > 0) != (beacon->sent_shed_share > 0);
 }
 
 static void
@@ -378,8 +379,8 @@
   else if (other_zones_age_us >= OTHER_ZONE_PERIOD_US
            || (changed && other_zones_age_us >= OTHER_ZONE_GAP_US))
     send_to_other_zones (beacon, false);
-  if (changed || now_us - beacon->sent_own_zone_us >= OWN_ZONE_PERIOD_US)
-    send_to_own_zone (beacon);
+  if (changed || now_us - beacon->sent_local_zone_us >= LOCAL_ZONE_PERIOD_US)
+    send_to_local_zone (beacon);
   jl_loop_start_timer (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer,
                        beacon);
 }
@@ -389,7 +390,7 @@
 {
   struct jl_beacon *beacon = context;
 
-  send_to_own_zone (beacon);
+  send_to_local_zone (beacon);
   send_to_other_zones (beacon, true);
   jl_loop_start_timer (beacon->proxy->loop, timer, CHECK_PERIOD_US, on_timer,
                        beacon);
@@ -399,7 +400,7 @@
 jl_beacon_send_soon (struct jl_beacon *beacon)
 {
   uint64_t now_us = jl_now ();
-  uint64_t due_us = MAX (now_us, beacon->sent_own_zone_us + ROUND_GAP_US);
+  uint64_t due_us = MAX (now_us, beacon->sent_local_zone_us + ROUND_GAP_US);
 
   jl_timer_start (beacon->proxy->loop->timers, &beacon->timer, due_us,
                   on_send_timer, beacon);
--- a/source/proxy/demand.c
+++ b/source/proxy/demand.c
@@ -1,6 +1,6 @@
 /**
- * DOC: The demand of this daemon's clients by route, and what is derived from
- * it.
+ * DOC: The demand of this daemon's clients by route, and the values that are
+ * derived from it.
  */
 
 #include "proxy/demand.h"
@@ -46,13 +46,13 @@
   struct jl_demand *demand;
 
   for (unsigned i = 0; i < proxy->demand_count; i++)
-    if (proxy->demands[i].route == route->key)
+    if (proxy->demands[i].route_key == route->key)
       return &proxy->demands[i];
   if (proxy->demand_count == JL_DEMAND_ROUTES_MAX)
     return NULL;
   demand = &proxy->demands[proxy->demand_count++];
-  demand->route = route->key;
-  demand->plan.zone = proxy->roster.own_zone;
+  demand->route_key = route->key;
+  demand->plan.zone = proxy->roster.local_zone;
   demand->plan.admit_share = 1;
   demand->plan.limiting_service = "";
   return demand;
@@ -68,18 +68,19 @@
 
   proxy->call_route_count = 0;
   for (unsigned i = 0; i < arrivals->count; i++)
-    if (jl_roster_is_call_route (&proxy->roster, arrivals->list[i].route,
+    if (jl_roster_is_call_route (&proxy->roster, arrivals->list[i].route_key,
                                  now_us))
-      proxy->call_routes[proxy->call_route_count++] = arrivals->list[i].route;
+      proxy->call_routes[proxy->call_route_count++]
+          = arrivals->list[i].route_key;
 }
 
-/* Estimates the call tree of a route anew; it is empty if the configuration in
- * force lacks the route. */
+/* Updates the estimated call tree of a route. The tree is empty if the
+ * configuration in force lacks the route. */
 static void
 update_call_tree (struct jl_proxy *proxy, struct jl_demand *demand)
 {
   const struct jl_route *route
-      = jl_site_route_by_key (proxy->site, demand->route);
+      = jl_site_route_by_key (proxy->site, demand->route_key);
 
   demand->tree.count = 0;
   if (route == NULL)
@@ -139,7 +140,7 @@
       return jl_overflow_choose_zone (&proxy->overflows[i], &proxy->roster,
                                       draw);
   if (proxy->overflow_count == JL_OVERFLOW_SERVICES_MAX)
-    return proxy->roster.own_zone;
+    return proxy->roster.local_zone;
   overflow = &proxy->overflows[proxy->overflow_count++];
   *overflow = jl_overflow_compute (&proxy->roster, service, jl_now ());
   return jl_overflow_choose_zone (overflow, &proxy->roster, draw);
@@ -167,7 +168,7 @@
     update_call_tree (proxy, &proxy->demands[i]);
   /* The next call to each service computes its overflow again. */
   proxy->overflow_count = 0;
-  proxy->planned_us = jl_now ();
+  proxy->plans_computed_us = jl_now ();
   for (unsigned i = 0; i < proxy->demand_count; i++)
     proxy->demands[i].plan
         = jl_plan_compute (&proxy->roster, proxy->demands, proxy->demand_count,
@@ -175,10 +176,10 @@
 }
 
 bool
-jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route)
+jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route_key)
 {
   for (unsigned i = 0; i < proxy->call_route_count; i++)
-    if (proxy->call_routes[i] == route)
+    if (proxy->call_routes[i] == route_key)
       return true;
   return false;
 }
--- a/source/proxy/demand.h
+++ b/source/proxy/demand.h
@@ -2,9 +2,9 @@
 #define JACKDAWLADDER_PROXY_DEMAND_H
 
 /**
- * DOC: The demand of this daemon's clients by route, and what is derived from
- * it: which routes carry calls of targets, the call tree and the plan of each
- * route, the zone of calls, and the retry budgets.
+ * DOC: The demand of this daemon's clients by route, and the values that are
+ * derived from it: which routes carry calls of targets, the call tree and the
+ * plan of each route, the zone of calls, and the retry budgets.
  */
 
 #include "proxy/proxy.h"
@@ -20,12 +20,13 @@
 
 /**
  * jl_demand_is_call_route - whether a route carries calls of targets
- * @route: the route's key
+ * @route_key: the route's key
  */
-bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route);
+bool jl_demand_is_call_route (const struct jl_proxy *proxy, uint32_t route_key);
 
 /**
- * jl_demand_choose_call_zone - chooses the zone of a call of the own target to
+ * jl_demand_choose_call_zone - chooses the zone of a call of the local target
+ * to
  * @service
  * @draw: random number, uniform from 0 to 1
  */
--- a/source/proxy/plan.h
+++ b/source/proxy/plan.h
@@ -10,7 +10,7 @@
  * gives the services that its calls will reach, and each service announces the
  * share of its demand that has to be refused. That share is taken from the
  * least important requests first and, among equally important ones, from those
- * that cause the most runs at the service. When the own zone has no capacity
+ * that cause the most runs at the service. When the local zone has no capacity
  * left and another zone has some, or refuses less, the whole request goes
  * there, so that only its first message crosses zones. Calls of a request that
  * has begun are never refused here. They stay in their zone while its targets
@@ -24,7 +24,7 @@
  * @zone: zone of the admitted requests
  * @admit_share: share of the requests that is admitted there
  * @limiting_service: service whose overload limits @admit_share, "" for none
- * @shed: share of its demand that @limiting_service has to refuse
+ * @shed_share: share of its demand that @limiting_service has to refuse
  * @other_zone: zone that has capacity left or refuses less, NULL for none
  * @other_zone_share: share of the requests not admitted in @zone that goes to
  *                    @other_zone
@@ -34,14 +34,14 @@
   const char *zone;
   double admit_share;
   const char *limiting_service;
-  double shed;
+  double shed_share;
   const char *other_zone;
   double other_zone_share;
 };
 
 /**
  * struct jl_demand - requests of this daemon's clients by one route
- * @route: the route's key
+ * @route_key: the route's key
  * @rank: its priority, 0 is the most important
  * @window_requests: requests in this window
  * @rate: requests a second, exponential moving average
@@ -50,7 +50,7 @@
  */
 struct jl_demand
 {
-  uint32_t route;
+  uint32_t route_key;
   unsigned rank;
   unsigned window_requests;
   double rate;
@@ -77,12 +77,12 @@
 const char *jl_plan_choose_zone (const struct jl_plan *plan, double draw);
 
 /**
- * struct jl_overflow - the plan for the own target's calls to one service until
- * the next window
+ * struct jl_overflow - the plan for the local target's calls to one service
+ * until the next window
  * @service: interned
  * @zone: another zone with capacity for these calls, NULL for none
  * @share: share of the calls that goes there, 0 to 1; the others stay in the
- *         own zone
+ *         local zone
  */
 struct jl_overflow
 {
--- a/tests/proxy/daemon.c
+++ b/tests/proxy/daemon.c
@@ -48,8 +48,8 @@
   return endpoint;
 }
 
-/* @host: part of the loopback address, which differs by test, as tests run in
- * parallel. */
+/* @host: part of the loopback address; it differs between tests, because tests
+ * run in parallel. */
 static void
 rig_prepare (struct rig *rig, unsigned host)
 {
@@ -154,7 +154,7 @@
             const char *zone,
             const char *service)
 {
-  struct jl_member *member = jl_roster_member (&rig->proxy->roster, name);
+  struct jl_member *member = jl_roster_get_or_add (&rig->proxy->roster, name);
 
   g_strlcpy (member->zone, zone, sizeof member->zone);
   g_strlcpy (member->service, service, sizeof member->service);
@@ -203,7 +203,7 @@
   cr_assert (g_str_has_prefix (received (fd), "HTTP/1.1 200"));
 }
 
-Test (daemon, a_life_that_left_before_does_not_come_back)
+Test (daemon, an_incarnation_that_left_before_does_not_come_back)
 {
   struct rig rig;
 
@@ -218,8 +218,8 @@
   cr_assert_eq (rig.store.writes, 1, "only the daemon's own row");
 }
 
-/* Guards against a loss of earlier leave records when the row has to be written
- * before it could be read. */
+/* Guards against the loss of earlier departed incarnations when the row is
+ * written before it was read. */
 Test (daemon, what_left_before_stays_in_the_row)
 {
   struct rig rig;
@@ -247,7 +247,7 @@
   rig_prepare (&rig, 5);
   rig_start (&rig);
   heartbeat (&rig, "i-1", 5, 1);
-  rig.proxy->pressure.hold_us = 100.0 * JL_USEC_PER_MSEC;
+  rig.proxy->load_shedder.hold_us = 100.0 * JL_USEC_PER_MSEC;
   rig.proxy->lane.running = rig.proxy->lane.limit;
   rig.proxy->lane.waiting = 40;
   fd = send_request (&rig, PEER_PORT,
@@ -318,7 +318,7 @@
   install_call_route (&rig);
   open_peer (&rig, OTHER_PORT, &near_requests);
   open_peer (&rig, OTHER_PORT + 1, &far_requests);
-  add_member (&rig, "d6", "z1", "deep")->shed = 0.9;
+  add_member (&rig, "d6", "z1", "deep")->shed_share = 0.9;
   far = add_member (&rig, "d7", "z2", "deep");
   far->peer.port = OTHER_PORT + 1;
   send_request (&rig, ENTRY_PORT, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -347,7 +347,7 @@
   jl_beacon_send_soon (rig.proxy->beacon);
   rig_run (&rig, 60);
   sent = rig.proxy->counters.beacons_sent - before;
-  cr_assert_geq (sent, MEMBERS / 2, "all of the own zone: %" PRIu64, sent);
+  cr_assert_geq (sent, MEMBERS / 2, "all of the local zone: %" PRIu64, sent);
   cr_assert_leq (sent, MEMBERS * 3 / 4, "%" PRIu64 " sent", sent);
 }
 
--- a/tests/unit/crashing.c
+++ b/tests/unit/crashing.c
@@ -63,7 +63,7 @@
     return;
   simulation->crashes++;
   simulation->down_until_us[node] = restarted_us;
-  jl_site_crash (&simulation->site, node, CRASH_DELAY_US);
+  jl_site_crash_target (&simulation->site, node, CRASH_DELAY_US);
   jl_site_announce (&simulation->site, node, "front", SLOTS,
                     ++simulation->start_count[node], restarted_us, END_US);
 }
@@ -74,11 +74,11 @@
   struct simulation *simulation = site->context;
 
   if (simulation->down_until_us[work->node] > site->now_us)
-    jl_site_end (site, work->number, JL_RUN_NOT_SENT, 0, 0);
+    jl_site_end_run (site, work->number, JL_RUN_NOT_SENT, 0, 0);
   else if (work->digest == POISON_DIGEST)
     crash_target (simulation, work->node);
   else
-    jl_site_end (site, work->number, JL_RUN_ANSWERED, 200, RUN_TIME_US);
+    jl_site_end_run (site, work->number, JL_RUN_ANSWERED, 200, RUN_TIME_US);
 }
 
 static void
@@ -112,8 +112,8 @@
 }
 
 /*
- * Schedules harmless requests at all entries. Every third has the same content,
- * all others have unique contents.
+ * Schedules harmless requests at all entries. Every third request has the same
+ * content; each of the others has a content of its own.
  */
 static void
 schedule_others (struct simulation *simulation,
@@ -145,8 +145,8 @@
 }
 
 /*
- * A poison request sent 20 times through all entries crashes exactly two
- * targets, and no harmless request is refused because of it.
+ * A poison request that is sent 20 times, through all entries in turn, must
+ * crash exactly two targets. No harmless request may be refused as poison.
  */
 Test (crashing, kills_at_most_two_targets)
 {
--- a/tests/unit/forward.c
+++ b/tests/unit/forward.c
@@ -32,7 +32,7 @@
 Test (forward, nothing_is_forwarded_past_its_deadline)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket anchor = { .minter = { OTHER, OTHER_EPOCH }, .number = 4 };
+  struct jl_ticket anchor = { .issuer = { OTHER, OTHER_EPOCH }, .number = 4 };
   uint64_t parent;
 
   join_other (rig);
@@ -61,7 +61,10 @@
   return NULL;
 }
 
-/* The daemon may have run the attempt before it restarted. */
+/*
+ * A daemon must not confirm a cancellation that is addressed to an earlier
+ * process of it, which may have run the attempt.
+ */
 Test (forward, cancellation_meant_for_an_earlier_life_is_not_confirmed)
 {
   struct rig *rig = rig_new ();
@@ -83,13 +86,14 @@
   rig_drop (rig);
 }
 
+/* A cancellation is addressed to the process to which the attempt was sent. */
 Test (forward, cancellation_names_the_life_that_was_sent_the_call)
 {
   struct rig *rig = rig_new ();
   static const struct jl_event_call_result broken
       = { .result = JL_SEND_BROKEN };
 
-  rig_call_ticket (rig, rig_mint (rig));
+  rig_call_ticket (rig, rig_issue_ticket (rig));
   rig_end_send (rig, broken);
   cr_assert_not_null (find_message (rig, JL_MESSAGE_CANCEL));
   cr_assert_eq (find_message (rig, JL_MESSAGE_CANCEL)->to.epoch, EPOCH);
@@ -103,7 +107,7 @@
 Test (forward, nothing_with_a_key_is_granted_right_after_a_pause)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = rig_mint (rig);
+  struct jl_ticket ticket = rig_issue_ticket (rig);
 
   rig_tick_after (rig, 1000);
   rig_announce (rig);
@@ -119,6 +123,7 @@
   rig_drop (rig);
 }
 
+/* A forwarded call that arrives after its cancellation must not be granted. */
 Test (forward, forwarded_call_that_was_given_up_is_not_granted)
 {
   struct rig *rig = rig_new ();
@@ -127,7 +132,7 @@
   struct jl_event event = { .call = { .kind = PUT,
                                       .forwarded = true,
                                       .key_type = JL_KEY_TICKET,
-                                      .ticket = rig_mint (rig),
+                                      .ticket = rig_issue_ticket (rig),
                                       .budget_us = JL_USEC_PER_SEC } };
 
   message.from.member = OTHER;
@@ -167,7 +172,7 @@
 Test (forward, forward_without_an_answer_is_cancelled_until_that_is_answered)
 {
   struct rig *rig = rig_new ();
-  struct jl_ticket ticket = { .minter = { OTHER, OTHER_EPOCH }, .number = 4 };
+  struct jl_ticket ticket = { .issuer = { OTHER, OTHER_EPOCH }, .number = 4 };
   struct jl_message message = { .type = JL_MESSAGE_CANCEL_LATE };
   struct jl_event late = { .type = JL_EVENT_MESSAGE, .message = &message };
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
@@ -192,15 +197,15 @@
 }
 
 /*
- * After this long the guard has no record of the attempt any more and would
- * wrongly confirm that it has not started.
+ * After 150 s the guard has no record of the attempt any more and would wrongly
+ * confirm the cancellation, so the outcome must be unknown.
  */
 Test (forward, long_sending_that_breaks_is_unknown)
 {
   struct rig *rig = rig_new ();
   struct jl_event event = { .type = JL_EVENT_CALL_RESULT };
 
-  event.call_result.call = rig_call_ticket (rig, rig_mint (rig));
+  event.call_result.call = rig_call_ticket (rig, rig_issue_ticket (rig));
   event.call_result.attempt = rig_find (rig, JL_EFFECT_SEND)->send.attempt;
   event.call_result.result = JL_SEND_BROKEN;
   rig_tick_after (rig, 150000);
@@ -209,6 +214,7 @@
   rig_drop (rig);
 }
 
+/* A call that was forwarded by an earlier process of a daemon is abandoned. */
 Test (forward, forwarded_call_of_an_earlier_life_is_not_granted)
 {
   struct rig *rig = rig_new ();
@@ -218,7 +224,7 @@
                                       .budget_us = JL_USEC_PER_SEC } };
 
   join_other (rig);
-  event.call.ticket = rig_mint (rig);
+  event.call.ticket = rig_issue_ticket (rig);
   event.call.attempt.origin.member = OTHER;
   event.call.attempt.origin.epoch = OTHER_EPOCH - 1;
   event.call.attempt.number = 5;
--- a/tests/unit/parts/rig.c
+++ b/tests/unit/parts/rig.c
@@ -6,7 +6,9 @@
 
 #include <criterion/criterion.h>
 
-/* Configurations of odd and of even versions, which differ in kind order. */
+/*
+ * Configurations of odd and even versions, which differ in the order of kinds.
+ */
 static const char *const documents[] = {
   "{\"classes\":[\"all\"],\"zones\":[{\"name\":\"z\",\"region\":\"r\"}],"
   "\"services\":[{\"name\":\"s\",\"retry_percent\":100,\"cold_start_ms\":0}],"
@@ -103,7 +105,7 @@
 }
 
 struct jl_ticket
-rig_mint (struct rig *rig)
+rig_issue_ticket (struct rig *rig)
 {
   struct jl_event event = { .type = JL_EVENT_CALL };
   const struct jl_effect *send;
